--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
@@ -18,7 +18,7 @@
 import org.quetzalseam.gateway.operator.GatewayMetrics;
 import org.quetzalseam.gateway.protocol.Protocol;
 import org.quetzalseam.gateway.runtime.Timers;
-import org.quetzalseam.gateway.store.KindKnowledge;
+import org.quetzalseam.gateway.store.KindFreshness;
 
 /** Finds the route of each request and starts its run. Used on the event loop only. */
 public final class RequestRouter {
@@ -32,7 +32,7 @@
     private final WaitingRequests early;
     private final WaitingRequests inDoubt;
     private @Nullable RouteTable routes;
-    private @Nullable KindKnowledge knowledge;
+    private @Nullable KindFreshness knowledge;
 
     /** Creates a router that knows no routes yet. */
     public RequestRouter(
@@ -56,7 +56,7 @@
     }
 
     /** Takes what tells how well the desired state is known. */
-    public void knowledge(KindKnowledge desiredState) {
+    public void knowledge(KindFreshness desiredState) {
         knowledge = desiredState;
     }
 
@@ -114,10 +114,10 @@
 
     /** A route may have been added since the store was last heard of, so only who knows the newest state denies one. */
     private void noRoute(Exchange exchange, String host, long version) {
-        KindKnowledge told = knowledge;
+        KindFreshness told = knowledge;
         if (told != null && !told.current()) {
             inDoubt.add(exchange);
-            told.confirm(() -> decideDoubts(told.current()));
+            told.refresh(() -> decideDoubts(told.current()));
             return;
         }
         logger.atInfo().log(
@@ -142,7 +142,7 @@
     }
 
     private String knowledgeInputs() {
-        KindKnowledge told = knowledge;
+        KindFreshness told = knowledge;
         return told == null
                 ? "word_age_ms=0"
                 : String.format(
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/LeaseRecord.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/LeaseRecord.java
@@ -24,10 +24,12 @@
     static LeaseRecord of(JsonNode spec) {
         ObjectFields fields = new ObjectFields("lease", spec);
         return new LeaseRecord(
-                fields.name("holder"), fields.whole("epoch", 1, MAX_COUNT), fields.whole("renewals", 0, MAX_COUNT));
+                fields.nonBlankText("holder"),
+                fields.integer("epoch", 1, MAX_COUNT),
+                fields.integer("renewals", 0, MAX_COUNT));
     }
 
-    ObjectNode json() {
+    ObjectNode toJson() {
         return JsonNodeFactory.instance
                 .objectNode()
                 .put("holder", holder)
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageKeeper.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageController.java
@@ -26,40 +26,40 @@
  *
  * <p>If nobody can hold the lease, engines stay as they are and everything else goes on.
  */
-final class StageKeeper {
+final class StageController {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** How often the holder asks engines for their load, in milliseconds: their reports are about that old themselves. */
-    private static final long SAMPLE_MILLIS = 1_000;
+    private static final long SAMPLE_INTERVAL_MILLIS = 1_000;
     /**
      * How long after an order no other is given, in milliseconds: longer than an order may be carried out late, and than an
      * engine takes to change.
      */
-    private static final long ORDER_REST_MILLIS = 14_000;
+    private static final long ORDER_COOLDOWN_MILLIS = 14_000;
 
     /** How long an engine may take to answer, in milliseconds: less than the time between two samples. */
-    private static final long ANSWER_MILLIS = 700;
+    private static final long ANSWER_TIMEOUT_MILLIS = 700;
 
     private static final int MAX_REPLY_BYTES = 64 * 1024;
-    private static final int ACCEPTED = 202;
+    private static final int STATUS_ACCEPTED = 202;
     /** The engine is in the stage already, or on its way there. */
-    private static final int HELD_ALREADY = 200;
+    private static final int STATUS_ALREADY_IN_STAGE = 200;
 
     private final Timers timers;
     private final Directory directory;
     private final Protocol protocol;
     private final String service;
-    private final String self;
+    private final String entryName;
     private final StageLease lease;
     private final StageSplit split;
     private final Map<Endpoint, EngineLoad> loads = new HashMap<>();
     private final Map<Endpoint, EndpointCall> reports = new HashMap<>();
-    private long restUntil;
+    private long cooldownEndNanos;
     /** Orders of the last round that an engine may carry out. */
-    private int notTurnedAway;
+    private int ordersNotRejected;
 
-    private int awaited;
+    private int outstandingReports;
 
-    StageKeeper(
+    StageController(
             Timers timers,
             Directory directory,
             Protocol protocol,
@@ -70,48 +70,48 @@
         this.directory = directory;
         this.protocol = protocol;
         this.service = service;
-        this.self = settings.name();
-        this.lease = new StageLease(timers, store, service, self, settings.firstStart());
+        this.entryName = settings.name();
+        this.lease = new StageLease(timers, store, service, entryName, settings.firstStart());
         this.split = new StageSplit(settings.prefillShare());
     }
 
     void start() {
-        keepLease();
-        timers.every(StageLease.RENEW_MILLIS, this::keepLease);
-        timers.every(SAMPLE_MILLIS, this::sample);
+        maintainLease();
+        timers.every(StageLease.RENEW_INTERVAL_MILLIS, this::maintainLease);
+        timers.every(SAMPLE_INTERVAL_MILLIS, this::sample);
     }
 
-    void keepLease() {
-        lease.keep();
+    void maintainLease() {
+        lease.maintain();
     }
 
     void sample() {
-        if (!lease.held() || awaited > 0) {
+        if (!lease.held() || outstandingReports > 0) {
             return;
         }
         loads.clear();
         reports.clear();
         List<Endpoint> engines = engines();
-        awaited = engines.size();
+        outstandingReports = engines.size();
         for (Endpoint engine : engines) {
             EndpointCall report = engine.control(
                     protocol.reportLoad(engine.member().id()),
-                    ANSWER_MILLIS,
+                    ANSWER_TIMEOUT_MILLIS,
                     new WholeReply(
                             MAX_REPLY_BYTES,
                             (head, body) -> {
                                 String text = WholeReply.text(body);
                                 body.release();
-                                protocol.load(text).ifPresent(load -> reported(engine, load));
-                                sampled();
+                                protocol.load(text).ifPresent(load -> onReport(engine, load));
+                                reportCompleted();
                             },
-                            failure -> loadUnknown(engine, failure)));
+                            failure -> onReportFailed(engine, failure)));
             reports.put(engine, report);
         }
     }
 
     /** A report counts only for the life that it is of. A newer life's ends the earlier one, however low its counts. */
-    private void reported(Endpoint engine, EngineLoad load) {
+    private void onReport(Endpoint engine, EngineLoad load) {
         long known = engine.member().startMillis();
         if (load.startMillis() == known) {
             loads.put(engine, load);
@@ -124,11 +124,11 @@
         }
     }
 
-    private void loadUnknown(Endpoint engine, CallFailure failure) {
+    private void onReportFailed(Endpoint engine, CallFailure failure) {
         logger.atInfo().log(
                 "event=load-unknown service=%s endpoint=%s kind=%s",
                 service, engine.member().id(), failure.kind());
-        sampled();
+        reportCompleted();
     }
 
     private List<Endpoint> engines() {
@@ -137,9 +137,9 @@
         return engines;
     }
 
-    private void sampled() {
-        awaited--;
-        if (awaited > 0) {
+    private void reportCompleted() {
+        outstandingReports--;
+        if (outstandingReports > 0) {
             return;
         }
         List<EngineSample> samples = new ArrayList<>();
@@ -147,35 +147,35 @@
             EngineLoad load = loads.get(engine);
             if (load != null && !load.changing()) {
                 double fill = load.memoryTotal() == 0 ? 0 : (double) load.memoryUsed() / load.memoryTotal();
-                samples.add(
-                        new EngineSample(name(engine), engine.member().stage(), load.running(), load.queued(), fill));
+                samples.add(new EngineSample(
+                        sampleName(engine), engine.member().stage(), load.running(), load.queued(), fill));
             }
         }
         split.observe(samples);
-        if (timers.now() - restUntil >= 0) {
+        if (timers.now() - cooldownEndNanos >= 0) {
             List<StageSplit.Change> changes = split.decide(samples);
             if (!changes.isEmpty()) {
                 // The orders leave in the same turn in which the store confirms the lease, or not at all.
-                lease.renew(() -> order(changes));
+                lease.renew(() -> sendOrder(changes));
             }
         }
     }
 
     /** An engine that has started again is another one: what was decided for its earlier life isn't for it. */
-    private static String name(Endpoint engine) {
+    private static String sampleName(Endpoint engine) {
         return engine.member().incarnation().toString();
     }
 
-    private void order(List<StageSplit.Change> changes) {
+    private void sendOrder(List<StageSplit.Change> changes) {
         if (!lease.mayOrder()) {
             return;
         }
-        notTurnedAway = 0;
+        ordersNotRejected = 0;
         for (StageSplit.Change change : changes) {
-            notTurnedAway += order(change) ? 1 : 0;
+            ordersNotRejected += sendOrder(change) ? 1 : 0;
         }
-        if (notTurnedAway > 0) {
-            restUntil = timers.now() + ORDER_REST_MILLIS * 1_000_000;
+        if (ordersNotRejected > 0) {
+            cooldownEndNanos = timers.now() + ORDER_COOLDOWN_MILLIS * 1_000_000;
             split.changed();
         }
     }
@@ -184,14 +184,14 @@
      * Sends an order to the life of the engine whose report it rests on, and to no other. Its id and the count of orders that
      * it names don't prove which life takes it: a life that has accepted as many, none above all, would do as well. So it
      * leaves over the connection that brought the report. Where the platform itself holds an order up past a restart, a count
-     * above zero still proves it, as nobody orders again within {@link #ORDER_REST_MILLIS}; a count of zero doesn't, and the
+     * above zero still proves it, as nobody orders again within {@link #ORDER_COOLDOWN_MILLIS}; a count of zero doesn't, and the
      * engine may then change stage once without need.
      *
      * @return whether it was sent
      */
-    private boolean order(StageSplit.Change change) {
+    private boolean sendOrder(StageSplit.Change change) {
         Optional<Endpoint> engine = engines().stream()
-                .filter(candidate -> name(candidate).equals(change.engine()))
+                .filter(candidate -> sampleName(candidate).equals(change.engine()))
                 .findFirst();
         if (engine.isEmpty()) {
             return false;
@@ -203,7 +203,7 @@
         }
         FullHttpRequest order = protocol.changeStage(
                 change.stage(),
-                self,
+                entryName,
                 lease.epoch(),
                 load.orders(),
                 engine.get().member().id());
@@ -211,14 +211,14 @@
                 .controlAfter(
                         report,
                         order,
-                        ANSWER_MILLIS,
+                        ANSWER_TIMEOUT_MILLIS,
                         new WholeReply(
                                 MAX_REPLY_BYTES,
                                 (head, body) -> {
                                     body.release();
-                                    answered(change, head.status().code());
+                                    onOrderAnswered(change, head.status().code());
                                 },
-                                failure -> unanswered(change, failure)));
+                                failure -> onOrderFailed(change, failure)));
         logger.atInfo().log(
                 "event=stage-order service=%s endpoint=%s stage=%s epoch=%d sent=%s %s",
                 service, change.engine(), change.stage(), lease.epoch(), sent, change.reason());
@@ -226,19 +226,19 @@
     }
 
     /** An order that its engine has turned away is never carried out: if that is true of all of them, nothing needs to rest. */
-    private void answered(StageSplit.Change change, int status) {
-        if (status != ACCEPTED && status != HELD_ALREADY) {
-            notTurnedAway--;
-            if (notTurnedAway == 0) {
-                restUntil = timers.now();
+    private void onOrderAnswered(StageSplit.Change change, int status) {
+        if (status != STATUS_ACCEPTED && status != STATUS_ALREADY_IN_STAGE) {
+            ordersNotRejected--;
+            if (ordersNotRejected == 0) {
+                cooldownEndNanos = timers.now();
             }
         }
         logger.atInfo().log(
                 "event=stage-order-answered service=%s endpoint=%s accepted=%s status=%d",
-                service, change.engine(), status == ACCEPTED, status);
+                service, change.engine(), status == STATUS_ACCEPTED, status);
     }
 
-    private void unanswered(StageSplit.Change change, CallFailure failure) {
+    private void onOrderFailed(StageSplit.Change change, CallFailure failure) {
         logger.atInfo().log(
                 "event=stage-order-unanswered service=%s endpoint=%s kind=%s",
                 service, change.engine(), failure.kind());
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageKeepers.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageControllers.java
@@ -9,19 +9,19 @@
 import org.quetzalseam.gateway.store.ObjectStore;
 
 /** A keeper for each service whose engines have stages. Used on the event loop only. */
-public final class StageKeepers {
+public final class StageControllers {
     /** How often services are looked for, in milliseconds. */
-    private static final long LOOK_MILLIS = 500;
+    private static final long DISCOVERY_INTERVAL_MILLIS = 500;
 
     private final Timers timers;
     private final Directory directory;
     private final Protocol protocol;
     private final ObjectStore store;
     private final EntrySettings settings;
-    private final Map<String, StageKeeper> keepers = new HashMap<>();
+    private final Map<String, StageController> controllers = new HashMap<>();
 
     /** Creates keepers; {@link #start} begins to look for services. */
-    public StageKeepers(
+    public StageControllers(
             Timers timers, Directory directory, Protocol protocol, ObjectStore store, EntrySettings settings) {
         this.timers = timers;
         this.directory = directory;
@@ -32,17 +32,17 @@
 
     /** Begins to look for services with stages. */
     public void start() {
-        timers.every(LOOK_MILLIS, this::look);
+        timers.every(DISCOVERY_INTERVAL_MILLIS, this::discoverServices);
     }
 
-    private void look() {
+    private void discoverServices() {
         for (String service : directory.stagedServices()) {
-            keepers.computeIfAbsent(service, this::begin);
+            controllers.computeIfAbsent(service, this::startController);
         }
     }
 
-    private StageKeeper begin(String service) {
-        StageKeeper keeper = new StageKeeper(timers, directory, protocol, store, service, settings);
+    private StageController startController(String service) {
+        StageController keeper = new StageController(timers, directory, protocol, store, service, settings);
         keeper.start();
         return keeper;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
@@ -23,29 +23,29 @@
     /** Kind of the lease's record in the store. */
     private static final String KIND = "quetzalseam-leases";
     /** How often a holder renews and others look, in milliseconds: a take-over within some seconds at few calls. */
-    static final long RENEW_MILLIS = 4_000;
+    static final long RENEW_INTERVAL_MILLIS = 4_000;
     /**
      * How long a new holder waits before its first order, in milliseconds: longer than the longest lease that engines are
      * known to assume, and than an order may be on its way.
      */
-    private static final long QUIET_MILLIS = 5_000;
+    private static final long FIRST_ORDER_DELAY_MILLIS = 5_000;
     /** Stands for a record that can't be read. */
-    private static final LeaseRecord NOBODYS = new LeaseRecord("", 0, 0);
+    private static final LeaseRecord NO_HOLDER_RECORD = new LeaseRecord("", 0, 0);
 
-    private static final String NOBODY = "nobody";
+    private static final String NO_HOLDER_NAME = "nobody";
 
     private final Timers timers;
     private final ObjectStore store;
     private final String service;
-    private final String self;
+    private final String entryName;
     private final OrderLease lease;
     private final boolean firstStart;
     private final ObjectFaults faults = new ObjectFaults(KIND);
-    private LeaseRecord record = NOBODYS;
-    private StorePosition newest = StorePosition.NONE;
+    private LeaseRecord record = NO_HOLDER_RECORD;
+    private StorePosition newestPosition = StorePosition.NONE;
     private long highestEpoch;
-    private boolean everKnown;
-    private boolean calling;
+    private boolean recordEverSeen;
+    private boolean callInFlight;
 
     /** Creates a lease at a site that starts for the first time. */
     StageLease(Timers timers, ObjectStore store, String service, String self) {
@@ -61,9 +61,9 @@
         this.timers = timers;
         this.store = store;
         this.service = service;
-        this.self = self;
+        this.entryName = self;
         this.firstStart = firstStart;
-        this.lease = new OrderLease(self, RENEW_MILLIS, QUIET_MILLIS);
+        this.lease = new OrderLease(self, RENEW_INTERVAL_MILLIS, FIRST_ORDER_DELAY_MILLIS);
     }
 
     boolean held() {
@@ -79,8 +79,8 @@
     }
 
     /** Renews, looks at or takes over the lease, whichever is due. */
-    void keep() {
-        if (calling) {
+    void maintain() {
+        if (callInFlight) {
             return;
         }
         if (!lease.known()) {
@@ -90,18 +90,18 @@
         } else if (lease.lapsed(timers.now())) {
             takeOver(true);
         } else {
-            look();
+            checkHolder();
         }
     }
 
     /** Looks whether another holder renews. An old answer at worst puts a take-over off; taking over is conditional. */
-    private void look() {
-        calling = true;
-        store.readRecent(KIND, service, this::taken, this::lookFailed);
+    private void checkHolder() {
+        callInFlight = true;
+        store.readRecent(KIND, service, this::onRecord, this::checkFailed);
     }
 
     /** An old answer may lack the record that is there by now. */
-    private void lookFailed(StoreFailure failure) {
+    private void checkFailed(StoreFailure failure) {
         if (failure.kind() == StoreFailure.Kind.NOT_FOUND) {
             forget();
             read();
@@ -111,12 +111,12 @@
     }
 
     private void read() {
-        calling = true;
-        store.read(KIND, service, this::taken, this::readFailed);
+        callInFlight = true;
+        store.read(KIND, service, this::onRecord, this::readFailed);
     }
 
     private void readFailed(StoreFailure failure) {
-        calling = false;
+        callInFlight = false;
         if (failure.kind() == StoreFailure.Kind.NOT_FOUND && !lease.known()) {
             create();
             return;
@@ -126,28 +126,29 @@
     }
 
     private void create() {
-        StorePosition known = StorePosition.later(store.position(), newest);
-        if (inexpressible(known)) {
+        StorePosition known = StorePosition.later(store.position(), newestPosition);
+        if (eraTooHighForEpochs(known)) {
             return;
         }
-        calling = true;
-        LeaseRecord first = new LeaseRecord(self, OrderEpoch.after(known), 0);
-        store.create(KIND, service, first.json(), object -> created(object, known, first.epoch()), this::createFailed);
+        callInFlight = true;
+        LeaseRecord first = new LeaseRecord(entryName, OrderEpoch.after(known), 0);
+        store.create(
+                KIND, service, first.toJson(), object -> onCreated(object, known, first.epoch()), this::createFailed);
     }
 
     /** A record that has been gone may have stood under any epoch up to its creation: one below that is not held but replaced. */
-    private void created(StoredObject object, StorePosition before, long epoch) {
-        boolean after = everKnown || !firstStart || object.position().era() != before.era();
+    private void onCreated(StoredObject object, StorePosition before, long epoch) {
+        boolean after = recordEverSeen || !firstStart || object.position().era() != before.era();
         if (epoch >= OrderEpoch.highestAt(object.position())) {
-            won(object, after, NOBODY);
+            onAcquired(object, after, NO_HOLDER_NAME);
         } else {
-            taken(object);
+            onRecord(object);
             takeOver(after);
         }
     }
 
     /** Returns whether epochs can't tell the era of the store's answers from others: nobody may order by them then. */
-    private boolean inexpressible(StorePosition position) {
+    private boolean eraTooHighForEpochs(StorePosition position) {
         boolean inexpressible = !OrderEpoch.expressible(position.era());
         if (inexpressible) {
             logger.atWarning().log("event=lease-impossible service=%s era=%d", service, position.era());
@@ -157,25 +158,25 @@
 
     /** Another entry may have been first; what stands in the store shows at the next turn. */
     private void createFailed(StoreFailure failure) {
-        calling = false;
+        callInFlight = false;
         logger.atInfo().log("event=lease-not-created service=%s kind=%s", service, failure.kind());
     }
 
     /** Renews the lease, and calls once the store has confirmed it. */
     void renew(Runnable confirmed) {
-        if (calling) {
+        if (callInFlight) {
             return;
         }
-        calling = true;
+        callInFlight = true;
         long steady = timers.now();
         long wall = timers.wallMillis();
         store.replace(
                 KIND,
                 service,
                 lease.position(),
-                record.renewed().json(),
+                record.renewed().toJson(),
                 object -> {
-                    taken(object);
+                    onRecord(object);
                     lease.renewed(steady, wall);
                     confirmed.run();
                 },
@@ -184,40 +185,45 @@
 
     /** Takes the lease over; {@code after} tells whether another holder's orders may still be on their way. */
     private void takeOver(boolean after) {
-        if (inexpressible(lease.position())) {
+        if (eraTooHighForEpochs(lease.position())) {
             return;
         }
-        calling = true;
+        callInFlight = true;
         String before = holder();
         // Above all that were ever given, also above those that this process hasn't seen and the record doesn't tell
         // any more.
-        LeaseRecord mine = new LeaseRecord(self, OrderEpoch.after(lease.position()), 0);
+        LeaseRecord mine = new LeaseRecord(entryName, OrderEpoch.after(lease.position()), 0);
         store.replace(
-                KIND, service, lease.position(), mine.json(), object -> won(object, after, before), this::writeFailed);
+                KIND,
+                service,
+                lease.position(),
+                mine.toJson(),
+                object -> onAcquired(object, after, before),
+                this::writeFailed);
     }
 
     private String holder() {
-        return record.holder().isEmpty() ? NOBODY : record.holder();
+        return record.holder().isEmpty() ? NO_HOLDER_NAME : record.holder();
     }
 
     /** Notes a record that this process has written in place of nobody's or another one's. */
-    private void won(StoredObject object, boolean after, String before) {
-        taken(object);
+    private void onAcquired(StoredObject object, boolean after, String before) {
+        onRecord(object);
         if (lease.held()) {
             lease.taken(after, timers.now());
             logger.atInfo().log("event=lease-taken service=%s epoch=%d before=%s", service, lease.epoch(), before);
         }
     }
 
-    private void taken(StoredObject object) {
-        calling = false;
+    private void onRecord(StoredObject object) {
+        callInFlight = false;
         if (object.position().before(lease.position())) {
             // An old answer: what is known already is newer.
             return;
         }
         boolean heldBefore = lease.held();
-        everKnown = true;
-        newest = StorePosition.later(newest, object.position());
+        recordEverSeen = true;
+        newestPosition = StorePosition.later(newestPosition, object.position());
         record = read(object);
         highestEpoch = Math.max(highestEpoch, record.epoch());
         lease.seen(record.holder(), record.epoch(), object.position(), timers.now());
@@ -246,7 +252,7 @@
                         found.holder(),
                         found.epoch(),
                         object.position().era());
-                return NOBODYS;
+                return NO_HOLDER_RECORD;
             }
             long highest = OrderEpoch.highestAt(object.position());
             if (found.epoch() < highestEpoch || found.epoch() > highest) {
@@ -260,7 +266,7 @@
             return found;
         } catch (UnreadableException e) {
             faults.unreadable(service, e);
-            return NOBODYS;
+            return NO_HOLDER_RECORD;
         }
     }
 
@@ -279,7 +285,7 @@
 
     private void forget() {
         if (lease.held()) {
-            logger.atInfo().log("event=lease-lost service=%s to=%s epoch=%d", service, NOBODY, lease.epoch());
+            logger.atInfo().log("event=lease-lost service=%s to=%s epoch=%d", service, NO_HOLDER_NAME, lease.epoch());
         }
         lease.forget();
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/store/JsonPieces.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/JsonSplitter.java
@@ -10,11 +10,11 @@
  * Takes JSON text apart without reading the values in it, so that a value that no parser takes, or that would cost too much to
  * read, takes no other with it. Needs no stack for nested values. Used once for a text.
  */
-public final class JsonPieces {
+public final class JsonSplitter {
     private final String text;
-    private int at;
+    private int position;
 
-    private JsonPieces(String text) {
+    private JsonSplitter(String text) {
         this.text = text;
     }
 
@@ -24,10 +24,10 @@
      * @throws UnreadableException if the text isn't a whole object and nothing else
      */
     public static Map<String, String> fields(String text) {
-        JsonPieces pieces = new JsonPieces(text);
+        JsonSplitter pieces = new JsonSplitter(text);
         Map<String, String> fields = new LinkedHashMap<>();
         pieces.expect('{');
-        while (pieces.more('}', fields.isEmpty())) {
+        while (pieces.hasMore('}', fields.isEmpty())) {
             String name = pieces.value();
             pieces.expect(':');
             fields.put(name.replace("\"", ""), pieces.value());
@@ -42,10 +42,10 @@
      * @throws UnreadableException if the text isn't a whole list and nothing else
      */
     public static List<String> elements(String text) {
-        JsonPieces pieces = new JsonPieces(text);
+        JsonSplitter pieces = new JsonSplitter(text);
         List<String> elements = new ArrayList<>();
         pieces.expect('[');
-        while (pieces.more(']', elements.isEmpty())) {
+        while (pieces.hasMore(']', elements.isEmpty())) {
             elements.add(pieces.value());
         }
         pieces.expectEnd();
@@ -53,10 +53,10 @@
     }
 
     /** Steps over what stands between two values. Returns whether another one follows. */
-    private boolean more(char end, boolean first) {
+    private boolean hasMore(char end, boolean first) {
         skipSpace();
-        if (at < text.length() && text.charAt(at) == end) {
-            at++;
+        if (position < text.length() && text.charAt(position) == end) {
+            position++;
             return false;
         }
         if (!first) {
@@ -67,74 +67,74 @@
 
     private void expect(char sign) {
         skipSpace();
-        if (at >= text.length() || text.charAt(at) != sign) {
-            throw broken("'" + sign + "'");
+        if (position >= text.length() || text.charAt(position) != sign) {
+            throw syntaxError("'" + sign + "'");
         }
-        at++;
+        position++;
     }
 
     private void expectEnd() {
         skipSpace();
-        if (at < text.length()) {
-            throw broken("the end");
+        if (position < text.length()) {
+            throw syntaxError("the end");
         }
     }
 
-    private UnreadableException broken(String expected) {
-        String found = at < text.length() ? text.substring(at) : "the end";
-        return new UnreadableException(Code.NOT_ALLOWED, "character " + at + " of an answer", expected, found);
+    private UnreadableException syntaxError(String expected) {
+        String found = position < text.length() ? text.substring(position) : "the end";
+        return new UnreadableException(Code.NOT_ALLOWED, "character " + position + " of an answer", expected, found);
     }
 
     private void skipSpace() {
-        while (at < text.length() && " \t\r\n".indexOf(text.charAt(at)) >= 0) {
-            at++;
+        while (position < text.length() && " \t\r\n".indexOf(text.charAt(position)) >= 0) {
+            position++;
         }
     }
 
     private String value() {
         skipSpace();
-        int from = at;
+        int from = position;
         int depth = 0;
         do {
-            if (at >= text.length()) {
-                throw broken("the rest of a value");
+            if (position >= text.length()) {
+                throw syntaxError("the rest of a value");
             }
-            char next = text.charAt(at);
+            char next = text.charAt(position);
             if (next == '"') {
                 skipString();
             } else if (next == '{' || next == '[') {
                 depth++;
-                at++;
+                position++;
             } else if (next == '}' || next == ']') {
                 depth--;
-                at++;
+                position++;
             } else if (depth == 0) {
-                skipWord();
+                skipLiteral();
             } else {
-                at++;
+                position++;
             }
         } while (depth > 0);
-        if (depth < 0 || at == from) {
-            throw broken("a value");
+        if (depth < 0 || position == from) {
+            throw syntaxError("a value");
         }
-        return text.substring(from, at);
+        return text.substring(from, position);
     }
 
     private void skipString() {
-        at++;
-        while (at < text.length() && text.charAt(at) != '"') {
-            at += text.charAt(at) == '\\' ? 2 : 1;
+        position++;
+        while (position < text.length() && text.charAt(position) != '"') {
+            position += text.charAt(position) == '\\' ? 2 : 1;
         }
-        if (at >= text.length()) {
-            throw broken("the rest of a string");
+        if (position >= text.length()) {
+            throw syntaxError("the rest of a string");
         }
-        at++;
+        position++;
     }
 
     /** Steps over a number, a word, or what stands in the place of one. */
-    private void skipWord() {
-        while (at < text.length() && ",:{}[]\" \t\r\n".indexOf(text.charAt(at)) < 0) {
-            at++;
+    private void skipLiteral() {
+        while (position < text.length() && ",:{}[]\" \t\r\n".indexOf(text.charAt(position)) < 0) {
+            position++;
         }
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/store/KindKnowledge.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/KindFreshness.java
@@ -3,7 +3,7 @@
 import org.quetzalseam.core.store.StorePosition;
 
 /** How well the newest state of one kind of objects is known. Used on the event loop only. */
-public interface KindKnowledge {
+public interface KindFreshness {
     /** Returns how old the newest word from the store is, in milliseconds. */
     long ageMillis();
 
@@ -14,5 +14,5 @@
     boolean current();
 
     /** Asks the store what the newest state is, and calls back when it has answered, or at once where it can't be known now. */
-    void confirm(Runnable answered);
+    void refresh(Runnable answered);
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/store/ObjectFaults.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/ObjectFaults.java
@@ -37,7 +37,7 @@
         if (!cause.fault().equals(faults.put(key, cause.fault()))) {
             logger.atWarning().log(
                     "event=object-unreadable kind=%s name=%s code=%s cause=\"%s\"",
-                    kind, key, cause.code(), cause.text());
+                    kind, key, cause.code(), cause.description());
         }
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Notes that an object is gone. */
-    public void gone(String name) {
+    public void deleted(String name) {
         faults.remove(UnreadableException.printable(name));
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/store/ObjectFields.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/ObjectFields.java
@@ -12,42 +12,42 @@
  */
 public final class ObjectFields {
     /** Longest text taken, in characters: more than any host's name or path prefix, and little enough to keep for each object. */
-    private static final int MAX_TEXT = 2_048;
+    private static final int MAX_TEXT_CHARS = 2_048;
     /** What a decoder puts in place of bytes that are no text. */
-    private static final char REPLACEMENT = '\uFFFD';
+    private static final char REPLACEMENT_CHARACTER = '\uFFFD';
 
-    private final String where;
+    private final String path;
     private final JsonNode node;
 
     /**
      * Begins to read an object.
      *
-     * @param where what the object is, for messages
+     * @param path what the object is, for messages
      * @param node the object
      * @throws UnreadableException if it is none
      */
     public ObjectFields(String where, JsonNode node) {
-        this.where = where;
+        this.path = where;
         this.node = node;
         if (!node.isObject()) {
-            throw wrong(node, where, "an object that can be read");
+            throw missingOrWrongType(node, where, "an object that can be read");
         }
     }
 
-    private static UnreadableException wrong(JsonNode value, String at, String expected) {
+    private static UnreadableException missingOrWrongType(JsonNode value, String at, String expected) {
         Code code = value.isMissingNode() ? Code.MISSING : Code.WRONG_TYPE;
-        return new UnreadableException(code, at, expected, shown(value));
+        return new UnreadableException(code, at, expected, describe(value));
     }
 
     /** Containers are named only: writing out one that is nested deeply would exhaust the stack. */
-    private static String shown(JsonNode value) {
+    private static String describe(JsonNode value) {
         return value.isTextual() || value.isNumber()
                 ? value.asText()
                 : value.getNodeType().name();
     }
 
-    private String at(String field) {
-        return where + "." + field;
+    private String pathOf(String field) {
+        return path + "." + field;
     }
 
     /** Returns whether the field is there, whatever its value. */
@@ -56,7 +56,7 @@
     }
 
     /** Returns whether there is a value; null, which some writers put in place of none, is none. */
-    public boolean given(String field) {
+    public boolean hasValue(String field) {
         return node.hasNonNull(field);
     }
 
@@ -64,34 +64,34 @@
     public String text(String field) {
         JsonNode value = node.path(field);
         if (!value.isTextual()) {
-            throw wrong(value, at(field), "a text");
+            throw missingOrWrongType(value, pathOf(field), "a text");
         }
         String text = value.asText();
-        if (text.length() > MAX_TEXT || text.chars().anyMatch(ObjectFields::unprintable)) {
+        if (text.length() > MAX_TEXT_CHARS || text.chars().anyMatch(ObjectFields::isUnprintable)) {
             throw new UnreadableException(
-                    Code.NOT_ALLOWED, at(field), "at most " + MAX_TEXT + " printable characters", text);
+                    Code.NOT_ALLOWED, pathOf(field), "at most " + MAX_TEXT_CHARS + " printable characters", text);
         }
         return text;
     }
 
-    private static boolean unprintable(int character) {
-        return character < ' ' || character == 0x7F || character == REPLACEMENT;
+    private static boolean isUnprintable(int character) {
+        return character < ' ' || character == 0x7F || character == REPLACEMENT_CHARACTER;
     }
 
     /** Returns a text that isn't empty. */
-    public String name(String field) {
+    public String nonBlankText(String field) {
         String name = text(field);
         if (name.isBlank()) {
-            throw new UnreadableException(Code.NOT_ALLOWED, at(field), "a name", name);
+            throw new UnreadableException(Code.NOT_ALLOWED, pathOf(field), "a name", name);
         }
         return name;
     }
 
     /** Returns a number without a fraction. */
-    public long whole(String field, long least, long most) {
+    public long integer(String field, long least, long most) {
         JsonNode value = node.path(field);
         if (!value.isIntegralNumber()) {
-            throw wrong(value, at(field), "a whole number");
+            throw missingOrWrongType(value, pathOf(field), "a whole number");
         }
         if (!value.canConvertToLong() || value.asLong() < least || value.asLong() > most) {
             throw outOfRange(field, value, least, most);
@@ -103,7 +103,7 @@
     public long number(String field, long least, long most) {
         JsonNode value = node.path(field);
         if (!value.isNumber()) {
-            throw wrong(value, at(field), "a number");
+            throw missingOrWrongType(value, pathOf(field), "a number");
         }
         double number = value.asDouble();
         if (!(number >= least && number <= most)) {
@@ -114,22 +114,22 @@
 
     /** Returns a number, or the given one where there is none. */
     public long number(String field, long least, long most, long fallback) {
-        return given(field) ? number(field, least, most) : fallback;
+        return hasValue(field) ? number(field, least, most) : fallback;
     }
 
     private UnreadableException outOfRange(String field, JsonNode value, long least, long most) {
-        return new UnreadableException(Code.NOT_ALLOWED, at(field), least + " to " + most, shown(value));
+        return new UnreadableException(Code.NOT_ALLOWED, pathOf(field), least + " to " + most, describe(value));
     }
 
     /** Returns a number that may have a fraction. */
-    public double share(String field) {
+    public double decimal(String field) {
         JsonNode value = node.path(field);
         if (!value.isNumber()) {
-            throw wrong(value, at(field), "a number");
+            throw missingOrWrongType(value, pathOf(field), "a number");
         }
         double share = value.asDouble();
         if (!(share >= 0 && share < Double.POSITIVE_INFINITY)) {
-            throw new UnreadableException(Code.NOT_ALLOWED, at(field), "0 or more", shown(value));
+            throw new UnreadableException(Code.NOT_ALLOWED, pathOf(field), "0 or more", describe(value));
         }
         return share;
     }
@@ -138,41 +138,42 @@
     public boolean flag(String field) {
         JsonNode value = node.path(field);
         if (!value.isBoolean()) {
-            throw wrong(value, at(field), "true or false");
+            throw missingOrWrongType(value, pathOf(field), "true or false");
         }
         return value.asBoolean();
     }
 
     /** Returns true or false, the latter where there is none. */
     public boolean optionalFlag(String field) {
-        return given(field) && flag(field);
+        return hasValue(field) && flag(field);
     }
 
     /** Returns the object in a field; one without fields where there is none. */
     public ObjectFields optionalObject(String field) {
-        return new ObjectFields(at(field), given(field) ? node.path(field) : JsonNodeFactory.instance.objectNode());
+        return new ObjectFields(
+                pathOf(field), hasValue(field) ? node.path(field) : JsonNodeFactory.instance.objectNode());
     }
 
     /** Returns the objects of a list. */
     public List<ObjectFields> list(String field) {
         JsonNode value = node.path(field);
         if (!value.isArray()) {
-            throw wrong(value, at(field), "a list");
+            throw missingOrWrongType(value, pathOf(field), "a list");
         }
         List<ObjectFields> objects = new ArrayList<>();
         for (JsonNode element : value) {
-            objects.add(new ObjectFields(at(field) + "[" + objects.size() + "]", element));
+            objects.add(new ObjectFields(pathOf(field) + "[" + objects.size() + "]", element));
         }
         return objects;
     }
 
     /** Returns the objects of a list; none where there is no list. */
     public List<ObjectFields> optionalList(String field) {
-        return given(field) ? list(field) : List.of();
+        return hasValue(field) ? list(field) : List.of();
     }
 
     /** Returns an exception for a value that is of the right type but isn't allowed. */
     public UnreadableException notAllowed(String field, String expected) {
-        return new UnreadableException(Code.NOT_ALLOWED, at(field), expected, shown(node.path(field)));
+        return new UnreadableException(Code.NOT_ALLOWED, pathOf(field), expected, describe(node.path(field)));
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/store/ObjectStore.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/ObjectStore.java
@@ -43,7 +43,7 @@
             Consumer<StoreFailure> failed);
 
     /** Makes no further call over a connection that is open now: one of them has gone silent, so the others may have too. */
-    void doubtConnections();
+    void retireConnections();
 
     /** Returns the newest position that an answer has shown; its era is that of the newest answer. */
     StorePosition position();
--- a/gateway/src/main/java/org/quetzalseam/gateway/store/UnreadableException.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/UnreadableException.java
@@ -4,7 +4,7 @@
 public final class UnreadableException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     /** Longest part of a value that a message shows, in characters: enough to recognize it, little enough for a log line. */
-    private static final int MAX_SHOWN = 60;
+    private static final int MAX_SHOWN_CHARS = 60;
 
     /** What is wrong with a value. */
     public enum Code {
@@ -17,7 +17,7 @@
     }
 
     private final Code code;
-    private final String text;
+    private final String description;
     private final String fault;
 
     /**
@@ -35,7 +35,7 @@
     private UnreadableException(Code code, String where, String text) {
         super(text);
         this.code = code;
-        this.text = text;
+        this.description = text;
         this.fault = code + " " + printable(where);
     }
 
@@ -45,8 +45,8 @@
     }
 
     /** Returns where the value is, what was expected and what was found, fit for a log line. */
-    public String text() {
-        return text;
+    public String description() {
+        return description;
     }
 
     /** Returns the fault without the value: the same for two values that are wrong in the same way. */
@@ -57,10 +57,10 @@
     /** Returns the beginning of a text, with a sign in place of whatever could break a log line. */
     static String printable(String text) {
         StringBuilder shown = new StringBuilder();
-        for (int i = 0; i < Math.min(text.length(), MAX_SHOWN); i++) {
+        for (int i = 0; i < Math.min(text.length(), MAX_SHOWN_CHARS); i++) {
             char next = text.charAt(i);
             shown.append(next < ' ' || next == '"' || next > '~' ? '?' : next);
         }
-        return text.length() > MAX_SHOWN ? shown + "..." : shown.toString();
+        return text.length() > MAX_SHOWN_CHARS ? shown + "..." : shown.toString();
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryCensusTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryCensusTest.java
@@ -64,10 +64,10 @@
     @Test
     void anEntryThatIsAddedDoesNotCountFromAnOldAnswer() {
         others(4);
-        store.listsRecently(List.of());
+        store.answerRecentListsWith(List.of());
         start();
         passSeconds(4);
-        store.listsRecently(null);
+        store.answerRecentListsWith(null);
         passSeconds(20);
         assertThat(counted).containsExactly(5);
     }
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/ForeignLeaseRecordTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/ForeignLeaseRecordTest.java
@@ -34,10 +34,10 @@
         }
     }
 
-    private void turn() {
-        lease.keep();
-        steadyNanos += TimeUnit.MILLISECONDS.toNanos(StageLease.RENEW_MILLIS);
-        wallMillis += StageLease.RENEW_MILLIS;
+    private void maintainAndAdvance() {
+        lease.maintain();
+        steadyNanos += TimeUnit.MILLISECONDS.toNanos(StageLease.RENEW_INTERVAL_MILLIS);
+        wallMillis += StageLease.RENEW_INTERVAL_MILLIS;
     }
 
     private long storedEpoch() {
@@ -66,18 +66,18 @@
                 "{\"holder\":[\"self\"],\"epoch\":3,\"renewals\":0}",
                 "{\"holder\":\"\",\"epoch\":3,\"renewals\":0}"
             })
-    void aRecordThatCanNotBeReadGivesNobodyTheLeaseAndIsTakenOverOnceItHasStoodStill(String record) {
+    void anUnreadableRecordGivesNobodyTheLeaseAndIsTakenOverOnceItStaysUnchanged(String record) {
         for (int i = 0; i < 5; i++) {
             store.put(KIND, "s", json("{\"holder\":\"old\",\"epoch\":" + (i + 1) + ",\"renewals\":0}"));
         }
         store.put(KIND, "s", json(record));
         for (int i = 0; i < 3; i++) {
-            assertThatCode(this::turn).doesNotThrowAnyException();
+            assertThatCode(this::maintainAndAdvance).doesNotThrowAnyException();
             assertThat(lease.held()).isFalse();
             assertThat(lease.mayOrder()).isFalse();
         }
         for (int i = 0; i < 3; i++) {
-            turn();
+            maintainAndAdvance();
         }
         assertThat(lease.held()).isTrue();
         assertThat(lease.epoch())
@@ -87,81 +87,81 @@
     }
 
     @Test
-    void aRecordThatIsRewrittenAllTheTimeIsNeverTakenOver() {
+    void aRecordThatKeepsChangingIsNeverTakenOver() {
         for (int i = 0; i < 20; i++) {
             store.put(KIND, "s", json("{\"holder\":" + i + "}"));
-            turn();
+            maintainAndAdvance();
             assertThat(lease.held()).isFalse();
         }
     }
 
     @Test
-    void aHolderWhoseRecordAnotherWriterSpoilsLosesItAndComesBackUnderAHigherEpoch() {
-        turn();
-        turn();
+    void aHolderWhoseRecordAnotherWriterCorruptsLosesTheLeaseAndRegainsItUnderAHigherEpoch() {
+        maintainAndAdvance();
+        maintainAndAdvance();
         assertThat(lease.held()).isTrue();
         long before = lease.epoch();
         store.put(KIND, "s", json("{\"holder\":\"self\",\"epoch\":\"x\",\"renewals\":0}"));
-        turn();
+        maintainAndAdvance();
         assertThat(lease.held()).isFalse();
         for (int i = 0; i < 6; i++) {
-            turn();
+            maintainAndAdvance();
         }
         assertThat(lease.held()).isTrue();
         assertThat(lease.epoch()).isGreaterThan(before);
     }
 
     @Test
-    void aRecordWithALowerEpochThanOneSeenIsNoRecord() {
+    void aRecordWithALowerEpochThanOneSeenGivesNobodyTheLease() {
         for (int i = 1; i <= 40; i++) {
             store.put(KIND, "s", json("{\"holder\":\"old\",\"epoch\":" + i + ",\"renewals\":0}"));
         }
-        turn();
+        maintainAndAdvance();
         store.put(KIND, "s", json("{\"holder\":\"self\",\"epoch\":2,\"renewals\":0}"));
-        turn();
+        maintainAndAdvance();
         assertThat(lease.held()).isFalse();
         for (int i = 0; i < 6; i++) {
-            turn();
+            maintainAndAdvance();
         }
         assertThat(lease.held()).isTrue();
         assertThat(lease.epoch()).isGreaterThan(40);
     }
 
     @Test
-    void aRecordWithAnEpochThatNoEntryCanHaveReachedIsNoRecord() {
+    void aRecordWithAnEpochThatNoEntryCanHaveReachedGivesNobodyTheLease() {
         store.put(KIND, "s", json("{\"holder\":\"self\",\"epoch\":9007199254740991,\"renewals\":0}"));
-        turn();
+        maintainAndAdvance();
         assertThat(lease.held()).isFalse();
         for (int i = 0; i < 6; i++) {
-            turn();
+            maintainAndAdvance();
         }
         assertThat(lease.held()).isTrue();
         assertThat(lease.epoch()).isLessThan(10);
     }
 
     @Test
-    void anOldAnswerDoesNotMakeATakeOverRepeatAnEpoch() {
+    void aStaleReadDoesNotMakeATakeOverRepeatAnEpoch() {
         store.put(KIND, "s", json("{\"holder\":\"old\",\"epoch\":1,\"renewals\":0}"));
         StoredObject before = store.put(KIND, "s", json("{\"holder\":\"old\",\"epoch\":1,\"renewals\":1}"));
         store.put(KIND, "s", json("{\"holder\":\"newer\",\"epoch\":2,\"renewals\":0}"));
-        turn();
-        store.readsRecently(before);
+        maintainAndAdvance();
+        store.answerRecentReadsWith(before);
         for (int i = 0; i < 6 && !lease.held(); i++) {
-            turn();
+            maintainAndAdvance();
         }
         assertThat(lease.held()).isTrue();
         assertThat(lease.epoch()).isGreaterThan(2);
     }
 
     @Test
-    void whoFindsItselfHolderWithoutTheStoresWordGivesNoOrderForAWhile() {
+    void anEntryThatFindsARecordInItsNameDelaysItsFirstOrder() {
         store.put(KIND, "s", json("{\"holder\":\"self\",\"epoch\":1,\"renewals\":0}"));
-        lease.keep();
+        lease.maintain();
         assertThat(lease.held()).isTrue();
         lease.renew(() -> {});
         assertThat(lease.mayOrder()).isFalse();
-        turn();
-        turn();
+        maintainAndAdvance();
+        maintainAndAdvance();
         lease.renew(() -> {});
         assertThat(lease.mayOrder()).isTrue();
     }
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/LeaseOverRestoresTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/LeaseOverRestoresTest.java
@@ -35,7 +35,7 @@
     private static final int LONGEST_ANSWER_MILLIS = 700;
 
     @Test
-    void epochsRiseAndEachBelongsToOneHolder() {
+    void epochsIncreaseAndEachBelongsToOneHolder() {
         int carriedOut = 0;
         int takenOver = 0;
         for (int seed = 0; seed < SITES; seed++) {
@@ -44,27 +44,27 @@
                 site.step();
             }
             assertThat(site.findings).as("seed %d", seed).isEmpty();
-            carriedOut += site.carriedOut;
+            carriedOut += site.executedOrders;
             takenOver += site.holderOfEpoch.size();
         }
         assertThat(carriedOut).as("orders judged").isGreaterThan(10 * SITES);
         assertThat(takenOver).as("holdings judged").isGreaterThan(2 * SITES);
     }
 
-    private record Due(long atMillis, Runnable what) {}
+    private record ScheduledCall(long atMillis, Runnable call) {}
 
     private static final class RandomSite {
         private final Random random;
         private final MemoryStore store = new MemoryStore();
         private final List<StageLease> leases = new ArrayList<>();
-        private final List<Due> due = new ArrayList<>();
+        private final List<ScheduledCall> scheduled = new ArrayList<>();
         private final List<MemoryStore.Copy> copies = new ArrayList<>();
         private final Map<Long, String> holderOfEpoch = new HashMap<>();
         private final List<String> findings = new ArrayList<>();
-        private final long[] nextTurn = new long[3];
-        private long highest;
+        private final long[] nextMaintenanceMillis = new long[3];
+        private long highestEpoch;
         private long millis = 1_000;
-        private int carriedOut;
+        private int executedOrders;
 
         RandomSite(long seed) {
             random = new Random(seed);
@@ -81,9 +81,9 @@
 
         private void step() {
             millis += random.nextInt(STEP_MILLIS);
-            deliver();
+            runDueCalls();
             for (int i = 0; i < leases.size(); i++) {
-                turn(i);
+                maintain(i);
             }
             if (random.nextInt(20) == 0) {
                 copies.add(store.copy());
@@ -102,33 +102,34 @@
         }
 
         /** An entry's turn comes late at times, and now and then not for long. */
-        private void turn(int which) {
-            if (millis < nextTurn[which]) {
+        private void maintain(int which) {
+            if (millis < nextMaintenanceMillis[which]) {
                 return;
             }
             boolean silent = random.nextInt(40) == 0;
-            nextTurn[which] = millis + StageLease.RENEW_MILLIS + (silent ? random.nextInt(30_000) : 0);
+            nextMaintenanceMillis[which] =
+                    millis + StageLease.RENEW_INTERVAL_MILLIS + (silent ? random.nextInt(30_000) : 0);
             StageLease lease = leases.get(which);
             if (lease.held() && random.nextBoolean()) {
                 lease.renew(() -> send(which, lease));
             } else {
-                lease.keep();
+                lease.maintain();
             }
         }
 
         private void send(int which, StageLease lease) {
             if (lease.mayOrder()) {
                 long epoch = lease.epoch();
-                after(random.nextInt(LONGEST_ORDER_MILLIS), () -> carryOut("e" + which, epoch));
+                after(random.nextInt(LONGEST_ORDER_MILLIS), () -> executeOrder("e" + which, epoch));
             }
         }
 
-        private void carryOut(String holder, long epoch) {
-            carriedOut++;
-            if (epoch < highest) {
-                findings.add("epoch " + epoch + " of " + holder + " after " + highest);
+        private void executeOrder(String holder, long epoch) {
+            executedOrders++;
+            if (epoch < highestEpoch) {
+                findings.add("epoch " + epoch + " of " + holder + " after " + highestEpoch);
             }
-            highest = Math.max(highest, epoch);
+            highestEpoch = Math.max(highestEpoch, epoch);
             String before = holderOfEpoch.putIfAbsent(epoch, holder);
             if (before != null && !before.equals(holder)) {
                 findings.add("epoch " + epoch + " of " + before + " and of " + holder);
@@ -136,34 +137,34 @@
         }
 
         private void after(long delayMillis, Runnable what) {
-            due.add(new Due(millis + delayMillis, what));
+            scheduled.add(new ScheduledCall(millis + delayMillis, what));
         }
 
-        private void deliver() {
-            List<Due> now =
-                    due.stream().filter(item -> item.atMillis() <= millis).toList();
-            due.removeAll(now);
-            now.forEach(item -> item.what().run());
+        private void runDueCalls() {
+            List<ScheduledCall> now =
+                    scheduled.stream().filter(item -> item.atMillis() <= millis).toList();
+            scheduled.removeAll(now);
+            now.forEach(item -> item.call().run());
         }
     }
 
     /** Calls reach the store, and answers the entry, some time later; an answer may be lost. */
     private static final class SlowStore implements ObjectStore {
         private final RandomSite site;
-        private StorePosition shown = StorePosition.NONE;
+        private StorePosition lastPosition = StorePosition.NONE;
 
         SlowStore(RandomSite site) {
             this.site = site;
         }
 
-        private void call(Runnable call) {
+        private void delayCall(Runnable call) {
             site.after(site.random.nextInt(LONGEST_ANSWER_MILLIS), call);
         }
 
-        private <T> Consumer<T> late(Consumer<T> taker, Consumer<StoreFailure> failed) {
+        private <T> Consumer<T> delayed(Consumer<T> taker, Consumer<StoreFailure> failed) {
             boolean lost = site.random.nextInt(10) == 0;
             return value -> site.after(site.random.nextInt(LONGEST_ANSWER_MILLIS), () -> {
-                shown = site.store.position();
+                lastPosition = site.store.position();
                 if (lost) {
                     failed.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "no answer in time"));
                 } else {
@@ -172,13 +173,13 @@
             });
         }
 
-        private Consumer<StoreFailure> late(Consumer<StoreFailure> failed) {
-            return late(failed, failed);
+        private Consumer<StoreFailure> delayed(Consumer<StoreFailure> failed) {
+            return delayed(failed, failed);
         }
 
         @Override
         public void read(String kind, String name, Consumer<StoredObject> done, Consumer<StoreFailure> failed) {
-            call(() -> site.store.read(kind, name, late(done, failed), late(failed)));
+            delayCall(() -> site.store.read(kind, name, delayed(done, failed), delayed(failed)));
         }
 
         @Override
@@ -189,7 +190,7 @@
         @Override
         public void create(
                 String kind, String name, JsonNode spec, Consumer<StoredObject> done, Consumer<StoreFailure> failed) {
-            call(() -> site.store.create(kind, name, spec, late(done, failed), late(failed)));
+            delayCall(() -> site.store.create(kind, name, spec, delayed(done, failed), delayed(failed)));
         }
 
         /** The store compares revisions alone, in whatever era it is when the call reaches it. */
@@ -201,21 +202,21 @@
                 JsonNode spec,
                 Consumer<StoredObject> done,
                 Consumer<StoreFailure> failed) {
-            call(() -> site.store.replace(
+            delayCall(() -> site.store.replace(
                     kind,
                     name,
                     new StorePosition(site.store.era(), expected.revision()),
                     spec,
-                    late(done, failed),
-                    late(failed)));
+                    delayed(done, failed),
+                    delayed(failed)));
         }
 
         @Override
-        public void doubtConnections() {}
+        public void retireConnections() {}
 
         @Override
         public StorePosition position() {
-            return shown;
+            return lastPosition;
         }
 
         @Override
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/RestoredStoreTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/RestoredStoreTest.java
@@ -18,7 +18,7 @@
  */
 class RestoredStoreTest {
     private static final String KIND = "quetzalseam-leases";
-    private static final int MANY_TURNS = 250;
+    private static final int MANY_ROUNDS = 250;
 
     private final MemoryStore store = new MemoryStore();
     private final Map<StageLease, Integer> orders = new HashMap<>();
@@ -31,20 +31,20 @@
         return new StageLease(timers, store, "s", name);
     }
 
-    private void turn(StageLease... leases) {
+    private void round(StageLease... leases) {
         for (StageLease lease : leases) {
-            lease.keep();
+            lease.maintain();
             if (lease.held()) {
                 lease.renew(() -> order(lease));
             }
         }
-        steadyNanos += TimeUnit.MILLISECONDS.toNanos(StageLease.RENEW_MILLIS);
-        wallMillis += StageLease.RENEW_MILLIS;
+        steadyNanos += TimeUnit.MILLISECONDS.toNanos(StageLease.RENEW_INTERVAL_MILLIS);
+        wallMillis += StageLease.RENEW_INTERVAL_MILLIS;
     }
 
-    private void turns(int count, StageLease... leases) {
+    private void rounds(int count, StageLease... leases) {
         for (int i = 0; i < count; i++) {
-            turn(leases);
+            round(leases);
         }
     }
 
@@ -64,72 +64,72 @@
         }
     }
 
-    private void turnsWithOtherWrites(int count, StageLease... leases) {
+    private void roundsWithOtherWrites(int count, StageLease... leases) {
         for (int i = 0; i < count; i++) {
             writeElsewhere(1);
-            turn(leases);
+            round(leases);
         }
     }
 
     @Test
-    void aLeaseWhoseLastRenewalsAreGoneIsHeldAgain() {
+    void aLeaseWhoseLastRenewalsWereLostIsHeldAgain() {
         StageLease lease = lease("a");
-        turns(5, lease);
+        rounds(5, lease);
         MemoryStore.Copy copy = store.copy();
-        turns(3, lease);
+        rounds(3, lease);
         int before = ordersOf(lease);
         assertThat(before).isPositive();
         store.restore(copy);
-        turnsWithOtherWrites(MANY_TURNS, lease);
-        assertThat(ordersOf(lease)).isGreaterThan(before + MANY_TURNS / 2);
+        roundsWithOtherWrites(MANY_ROUNDS, lease);
+        assertThat(ordersOf(lease)).isGreaterThan(before + MANY_ROUNDS / 2);
     }
 
     @Test
-    void aLeaseThatIsYoungerThanTheCopyIsHeldAgain() {
+    void aLeaseCreatedAfterTheCopyIsHeldAgain() {
         MemoryStore.Copy copy = store.copy();
         StageLease lease = lease("a");
-        turns(5, lease);
+        rounds(5, lease);
         int before = ordersOf(lease);
         assertThat(before).isPositive();
         store.restore(copy);
-        turnsWithOtherWrites(MANY_TURNS, lease);
-        assertThat(ordersOf(lease)).isGreaterThan(before + MANY_TURNS / 2);
+        roundsWithOtherWrites(MANY_ROUNDS, lease);
+        assertThat(ordersOf(lease)).isGreaterThan(before + MANY_ROUNDS / 2);
     }
 
     @Test
-    void anEpochOfAHolderThatNobodyRemembersIsNotGivenAgain() {
+    void anEpochOfAHolderThatTheStoreHasLostIsNotReused() {
         StageLease a = lease("a");
-        turns(3, a);
+        rounds(3, a);
         writeElsewhere(3);
         MemoryStore.Copy copy = store.copy();
         StageLease b = lease("b");
-        turns(7, b);
+        rounds(7, b);
         assertThat(b.held()).isTrue();
         assertThat(ordersOf(b)).isPositive();
         store.restore(copy);
         StageLease c = lease("c");
-        for (int i = 0; i < MANY_TURNS && !c.held(); i++) {
-            turn(c);
+        for (int i = 0; i < MANY_ROUNDS && !c.held(); i++) {
+            round(c);
         }
         assertThat(c.held()).isTrue();
         assertThat(c.epoch()).isGreaterThan(b.epoch());
     }
 
     @Test
-    void aHolderOfBeforeGivesNoOrderOnceAnotherHoldsItAgain() {
+    void aPreviousHolderGivesNoOrderOnceAnotherHoldsTheLeaseAgain() {
         StageLease a = lease("a");
-        turns(3, a);
+        rounds(3, a);
         MemoryStore.Copy copy = store.copy();
         StageLease b = lease("b");
-        turns(7, b);
+        rounds(7, b);
         store.restore(copy);
-        for (int i = 0; i < MANY_TURNS && !a.held(); i++) {
-            turn(a);
+        for (int i = 0; i < MANY_ROUNDS && !a.held(); i++) {
+            round(a);
         }
-        turns(5, a);
+        rounds(5, a);
         int before = ordersOf(b);
-        turns(MANY_TURNS, a, b);
-        assertThat(ordersOf(a)).isGreaterThan(MANY_TURNS / 2);
+        rounds(MANY_ROUNDS, a, b);
+        assertThat(ordersOf(a)).isGreaterThan(MANY_ROUNDS / 2);
         assertThat(ordersOf(b)).isEqualTo(before);
         assertThat(b.held()).isFalse();
     }
@@ -138,28 +138,28 @@
     void twoRestoresInARowLeaveOneHolder() {
         StageLease a = lease("a");
         StageLease b = lease("b");
-        turns(3, a, b);
+        rounds(3, a, b);
         MemoryStore.Copy copy = store.copy();
         for (int i = 0; i < 2; i++) {
-            turnsWithOtherWrites(2, a, b);
+            roundsWithOtherWrites(2, a, b);
             store.restore(copy);
         }
-        turnsWithOtherWrites(20, a, b);
+        roundsWithOtherWrites(20, a, b);
         int before = ordersOf(a) + ordersOf(b);
-        turnsWithOtherWrites(MANY_TURNS, a, b);
-        assertThat(ordersOf(a) + ordersOf(b)).isGreaterThan(before + MANY_TURNS / 2);
+        roundsWithOtherWrites(MANY_ROUNDS, a, b);
+        assertThat(ordersOf(a) + ordersOf(b)).isGreaterThan(before + MANY_ROUNDS / 2);
         assertThat(a.held() != b.held()).as("one holds it").isTrue();
     }
 
     @Test
-    void aRecordThatAnOperatorDeletesIsLeftAgainUnderAHigherEpoch() {
+    void aRecordThatAnOperatorDeletesIsCreatedAgainUnderAHigherEpoch() {
         StageLease lease = lease("a");
-        turns(5, lease);
+        rounds(5, lease);
         int before = ordersOf(lease);
         long epoch = lease.epoch();
         store.remove(KIND, "s");
-        turnsWithOtherWrites(MANY_TURNS, lease);
-        assertThat(ordersOf(lease)).isGreaterThan(before + MANY_TURNS / 2);
+        roundsWithOtherWrites(MANY_ROUNDS, lease);
+        assertThat(ordersOf(lease)).isGreaterThan(before + MANY_ROUNDS / 2);
         assertThat(lease.epoch()).isGreaterThan(epoch);
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/StageKeeperTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/StageControllerTest.java
@@ -26,7 +26,7 @@
 import org.quetzalseam.standins.raw.RawServer;
 
 /** What a keeper orders on the grounds of which report, over restarts of an engine. */
-class StageKeeperTest {
+class StageControllerTest {
     /** Samples after which an order is due by far: three of the same engines are needed. */
     private static final int ENOUGH_SAMPLES = 8;
     /** Between two samples, in milliseconds: many round trips on loopback. */
@@ -40,8 +40,8 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final Timers timers = new Timers(group.next());
     private final Directory directory = new Directory(new Connector(group.next(), "x-id"));
-    private final StageKeeper keeper =
-            new StageKeeper(timers, directory, new TestProtocol(), new MemoryStore(), "s", SETTINGS);
+    private final StageController keeper =
+            new StageController(timers, directory, new TestProtocol(), new MemoryStore(), "s", SETTINGS);
     private final List<String> orders = new CopyOnWriteArrayList<>();
     /** The engine that is ordered: of two equal ones, the one with the least id. */
     private final RawServer first = new RawServer(this::reply);
@@ -55,7 +55,7 @@
     @BeforeEach
     void start() throws Exception {
         list(FIRST_START);
-        onLoop(keeper::keepLease);
+        onLoop(keeper::maintainLease);
     }
 
     @AfterEach
@@ -100,7 +100,7 @@
         onLoop(() -> directory.update(List.of(engine("a", startMillis, first), engine("b", FIRST_START, second))));
     }
 
-    private void listQuietly(long startMillis) {
+    private void listUnchecked(long startMillis) {
         try {
             list(startMillis);
         } catch (Exception e) {
@@ -127,14 +127,14 @@
     }
 
     @Test
-    void anOrderNamesTheCountThatTheEngineReported() throws Exception {
+    void anOrderStatesTheOrderCountThatTheEngineReported() throws Exception {
         sampleOften();
         assertThat(orders).containsExactly("/control/stage/PREFILL?orders=7");
     }
 
     @Test
-    void noOrderRestsOnTheReportOfALifeThatHasEndedSince() throws Exception {
-        betweenReports = () -> listQuietly(startAfter());
+    void noOrderIsBasedOnTheReportOfAnIncarnationThatHasEnded() throws Exception {
+        betweenReports = () -> listUnchecked(startAfter());
         sampleOften();
         assertThat(orders).isEmpty();
     }
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void anOrderLeavesOnlyOverTheConnectionThatBroughtItsReport() throws Exception {
+    void anOrderIsSentOnlyOverTheConnectionThatDeliveredItsReport() throws Exception {
         betweenReports = () -> {
             first.resetAll();
             sleep();
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void anOrderThatCouldNotLeaveIsGivenWithTheNextReport() throws Exception {
+    void anOrderThatCouldNotBeSentIsGivenAfterTheNextReport() throws Exception {
         betweenReports = () -> {
             first.resetAll();
             sleep();
@@ -171,7 +171,7 @@
 
     /** An engine that is busy with something else turns the order away; waiting for that order to be over would be in vain. */
     @Test
-    void anOrderThatWasTurnedAwayIsFollowedByAnotherAtOnce() throws Exception {
+    void aRejectedOrderIsFollowedByAnotherAtOnce() throws Exception {
         orderStatus = 409;
         sampleOften();
         orderStatus = 202;
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void aReportOfANewLifeWithALowerCountEndsTheEarlierOne() throws Exception {
+    void aReportOfANewIncarnationWithALowerCountReplacesThePreviousOne() throws Exception {
         onLoop(keeper::sample);
         sleep();
         report = SECOND_START + " 0";
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void aListingOfALifeThatHasEndedByTheEnginesOwnReportIsNotTaken() throws Exception {
+    void aListingOfAnIncarnationBeforeTheReportedOneIsIgnored() throws Exception {
         report = SECOND_START + " 0";
         sampleOften();
         list(FIRST_START);
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void aLateReportOfAnEarlierLifeIsNotTaken() throws Exception {
+    void aLateReportOfAPreviousIncarnationIsIgnored() throws Exception {
         list(SECOND_START);
         sampleOften();
         assertThat(startOfFirst()).isEqualTo(SECOND_START);
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/StageLeaseTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/StageLeaseTest.java
@@ -41,11 +41,11 @@
     }
 
     /** Lets both look once, and lets the time between two looks pass. */
-    private void turn(StageLease... looking) {
+    private void round(StageLease... looking) {
         for (StageLease lease : looking) {
-            lease.keep();
+            lease.maintain();
         }
-        pass(StageLease.RENEW_MILLIS);
+        pass(StageLease.RENEW_INTERVAL_MILLIS);
     }
 
     private void orderBy(StageLease lease) {
@@ -57,40 +57,40 @@
     }
 
     @Test
-    void oneOfTwoHoldsIt() {
-        turn(one, other);
-        turn(one, other);
+    void oneOfTwoEntriesHoldsTheLease() {
+        round(one, other);
+        round(one, other);
         assertThat(one.held()).isTrue();
         assertThat(other.held()).isFalse();
     }
 
     @Test
-    void aHolderThatRenewsKeepsIt() {
+    void aHolderThatRenewsKeepsTheLease() {
         for (int i = 0; i < 20; i++) {
-            turn(one, other);
+            round(one, other);
         }
         assertThat(one.held()).isTrue();
         assertThat(other.held()).isFalse();
     }
 
     @Test
-    void aSilentHoldersLeaseIsTakenOverUnderAHigherEpoch() {
-        turn(one, other);
+    void aLeaseThatIsNotRenewedIsTakenOverUnderAHigherEpoch() {
+        round(one, other);
         for (int i = 0; i < 6; i++) {
-            turn(other);
+            round(other);
         }
         assertThat(other.held()).isTrue();
         assertThat(other.epoch()).isEqualTo(2);
     }
 
     @Test
-    void aNewHolderGivesNoOrderWhileOneOfTheLastHolderMayBeOnItsWay() {
-        turn(one, other);
+    void aNewHolderGivesNoOrderWhileOneOfThePreviousHolderMayBeInFlight() {
+        round(one, other);
         for (int i = 0; i < 5 && !other.held(); i++) {
-            turn(other);
+            round(other);
             // The turn in which it takes over is the one to look at.
             if (other.held()) {
-                second.pass(-StageLease.RENEW_MILLIS);
+                second.pass(-StageLease.RENEW_INTERVAL_MILLIS);
             }
         }
         assertThat(other.held()).isTrue();
@@ -103,11 +103,11 @@
 
     @Test
     void aHolderThatWasReplacedWhileItWasFrozenGivesNoOrder() {
-        turn(one, other);
+        round(one, other);
         orderBy(one);
         assertThat(orders).hasValue(1);
         for (int i = 0; i < 6; i++) {
-            turn(other);
+            round(other);
         }
         assertThat(one.held()).as("it can't know yet").isTrue();
         orderBy(one);
@@ -116,8 +116,8 @@
     }
 
     @Test
-    void anOrderDoesNotLeaveOnAnOldRenewal() {
-        turn(one);
+    void anOldRenewalPermitsNoOrder() {
+        round(one);
         one.renew(() -> {});
         assertThat(one.mayOrder()).isTrue();
         first.pass(1_500);
@@ -125,16 +125,16 @@
     }
 
     @Test
-    void aMachineThatWasSuspendedGivesNoOrderThoughItsSteadyClockStoodStill() {
-        turn(one);
+    void aSuspendedMachineGivesNoOrderAlthoughItsMonotonicClockStoodStill() {
+        round(one);
         one.renew(() -> {});
         first.wallMillis += 5_000;
         assertThat(one.mayOrder()).isFalse();
     }
 
     @Test
-    void aRenewalWhoseAnswerIsLostIsNoGroundsForAnOrder() {
-        turn(one);
+    void aRenewalWhoseAnswerIsLostPermitsNoOrder() {
+        round(one);
         store.losingAnswers(true);
         orderBy(one);
         assertThat(orders).hasValue(0);
@@ -144,25 +144,25 @@
     }
 
     @Test
-    void aLeaseWhoseCreationWasNotAnsweredIsFoundToBeHeld() {
+    void aLeaseWhoseCreationWasNotAnsweredIsHeldAfterTheNextRead() {
         store.losingAnswers(true);
-        turn(one);
+        round(one);
         assertThat(store.spec(KIND, "s")).isNotNull();
         store.losingAnswers(false);
-        turn(one);
+        round(one);
         assertThat(one.held()).isTrue();
     }
 
     @Test
-    void whileTheStoreDeclinesNobodyTakesOver() {
-        turn(one, other);
+    void nobodyTakesTheLeaseOverWhileTheStoreDeclinesCalls() {
+        round(one, other);
         store.declining(true);
         for (int i = 0; i < 10; i++) {
-            turn(one, other);
+            round(one, other);
         }
         assertThat(other.held()).isFalse();
         store.declining(false);
-        turn(one, other);
+        round(one, other);
         assertThat(one.held()).isTrue();
         assertThat(other.held()).isFalse();
     }
--- a/gateway/src/test/java/org/quetzalseam/gateway/store/JsonPiecesTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/store/JsonSplitterTest.java
@@ -7,28 +7,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class JsonPiecesTest {
+class JsonSplitterTest {
     @Test
-    void anObjectsValuesAreFoundWithoutBeingRead() {
-        assertThat(JsonPieces.fields(" { \"a\" : {\"b\":[1,\"}\\\"]\"]} , \"c\":nonsense,\"d\":\"\\\\\" } "))
+    void anObjectsValuesAreFoundWithoutBeingParsed() {
+        assertThat(JsonSplitter.fields(" { \"a\" : {\"b\":[1,\"}\\\"]\"]} , \"c\":nonsense,\"d\":\"\\\\\" } "))
                 .containsEntry("a", "{\"b\":[1,\"}\\\"]\"]}")
                 .containsEntry("c", "nonsense")
                 .containsEntry("d", "\"\\\\\"")
                 .hasSize(3);
-        assertThat(JsonPieces.fields("{}")).isEmpty();
+        assertThat(JsonSplitter.fields("{}")).isEmpty();
     }
 
     @Test
-    void aListsValuesAreFoundWithoutBeingRead() {
-        assertThat(JsonPieces.elements("[1, [2,3] ,{\"a\":\"]\"},\"\\u0000\"]"))
+    void aListsValuesAreFoundWithoutBeingParsed() {
+        assertThat(JsonSplitter.elements("[1, [2,3] ,{\"a\":\"]\"},\"\\u0000\"]"))
                 .containsExactly("1", "[2,3]", "{\"a\":\"]\"}", "\"\\u0000\"");
-        assertThat(JsonPieces.elements("[ ]")).isEmpty();
+        assertThat(JsonSplitter.elements("[ ]")).isEmpty();
     }
 
     @Test
-    void valuesThatAreNestedDeeplyNeedNoStack() {
+    void deeplyNestedValuesDoNotOverflowTheStack() {
         String deep = "[".repeat(500_000) + "]".repeat(500_000);
-        assertThat(JsonPieces.elements("[" + deep + ",1]")).containsExactly(deep, "1");
+        assertThat(JsonSplitter.elements("[" + deep + ",1]")).containsExactly(deep, "1");
     }
 
     @ParameterizedTest
@@ -36,8 +36,8 @@
             strings = {
                 "", " ", "[", "]", "[1", "[1,", "[1,]", "[,1]", "[1 2]", "[1]x", "[\"a]", "[\"\\", "{}", "[[1]", "[1]]"
             })
-    void whatIsNoWholeListIsRefused(String text) {
-        assertThatThrownBy(() -> JsonPieces.elements(text)).isInstanceOf(UnreadableException.class);
+    void anythingButOneCompleteListIsRejected(String text) {
+        assertThatThrownBy(() -> JsonSplitter.elements(text)).isInstanceOf(UnreadableException.class);
     }
 
     @ParameterizedTest
@@ -55,7 +55,7 @@
                 "{\"a\":}",
                 "[]"
             })
-    void whatIsNoWholeObjectIsRefused(String text) {
-        assertThatThrownBy(() -> JsonPieces.fields(text)).isInstanceOf(UnreadableException.class);
+    void anythingButOneCompleteObjectIsRejected(String text) {
+        assertThatThrownBy(() -> JsonSplitter.fields(text)).isInstanceOf(UnreadableException.class);
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/store/KindWatchTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/store/KindWatchTest.java
@@ -17,14 +17,14 @@
 class KindWatchTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final FakeStore store = new FakeStore();
-    private final Seen seen = new Seen();
+    private final RecordingListener listener = new RecordingListener();
     private final KindWatch watch;
     private long nanos;
 
     KindWatchTest() {
         channel.freezeTime();
         Timers timers = new Timers(channel.eventLoop(), () -> nanos, () -> 0);
-        watch = new KindWatch(timers, store, "things", seen);
+        watch = new KindWatch(timers, store, "things", listener);
         watch.start();
         pass(0);
     }
@@ -45,18 +45,18 @@
     }
 
     @Test
-    void pagesAreListedTogetherAndTheWatchGoesOnFromTheLastOne() {
+    void pagesAreListedTogetherAndTheWatchStartsFromTheLastOne() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, at(5)));
         assertThat(store.after).isEqualTo("a");
         store.listed.accept(new ObjectPage(List.of(object("b", 4)), false, at(6)));
-        assertThat(seen.lines).containsExactly("listed a b away=false");
+        assertThat(listener.lines).containsExactly("listed a b away=false");
         assertThat(store.watchedFrom).isEqualTo(6);
     }
 
     @Test
-    void aStoreThatHasGoneSilentIsAskedForAnAnswerAtOnceUntilItIsBack() {
+    void anUnresponsiveStoreIsAskedForAnImmediateAnswerUntilItRecovers() {
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
-        assertThat(store.waitMillis).isEqualTo(KindWatch.WAIT_MILLIS);
+        assertThat(store.waitMillis).isEqualTo(KindWatch.WATCH_WAIT_MILLIS);
         store.failed.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "no answer in time"));
         pass(100);
         assertThat(store.waitMillis)
@@ -65,80 +65,82 @@
         assertThat(store.watchedFrom).isEqualTo(6);
         store.changed.accept(new ObjectChanges(List.of(), at(7)));
         pass(0);
-        assertThat(store.waitMillis).isEqualTo(KindWatch.WAIT_MILLIS);
+        assertThat(store.waitMillis).isEqualTo(KindWatch.WATCH_WAIT_MILLIS);
     }
 
     // Guards against a change that is late as its watch waits on a connection that has gone silent.
     @Test
-    void aWatchWhoseAnswerIsLateIsBegunAnewOverAnotherConnection() {
+    void aWatchWhoseAnswerIsLateIsRestartedOverAnotherConnection() {
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
         Consumer<ObjectChanges> silent = store.changed;
         Consumer<StoreFailure> silentFails = store.failed;
         int calls = store.calls;
-        pass(KindWatch.WAIT_MILLIS + KindWatch.LATE_MILLIS);
+        pass(KindWatch.WATCH_WAIT_MILLIS + KindWatch.LATE_AFTER_MILLIS);
         assertThat(store.calls).isEqualTo(calls + 1);
-        assertThat(store.doubts).as("connections that rest may be as silent").isEqualTo(1);
+        assertThat(store.retirements)
+                .as("connections that rest may be as silent")
+                .isEqualTo(1);
         assertThat(store.waitMillis).isEqualTo(KindWatch.NO_WAIT_MILLIS);
         ObjectChanges.Change change = new ObjectChanges.Change(object("a", 7), false);
         store.changed.accept(new ObjectChanges(List.of(change), at(7)));
         silentFails.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "no answer in time"));
         silent.accept(new ObjectChanges(List.of(change), at(7)));
-        pass(KindWatch.GATHER_MILLIS);
-        assertThat(seen.lines).containsExactly("listed away=false", "changed a");
+        pass(KindWatch.BATCH_MILLIS);
+        assertThat(listener.lines).containsExactly("listed away=false", "changed a");
         assertThat(store.calls).as("one watch goes on").isEqualTo(calls + 2);
     }
 
     // Guards against a silent store that is asked four times a second, and is never taken for away, as each call
     // replaces the one before.
     @Test
-    void aStoreThatIsSilentOverANewConnectionTooIsAway() {
+    void aStoreThatIsUnresponsiveOverANewConnectionTooIsUnavailable() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
-        pass(KindWatch.WAIT_MILLIS + KindWatch.LATE_MILLIS);
+        pass(KindWatch.WATCH_WAIT_MILLIS + KindWatch.LATE_AFTER_MILLIS);
         int calls = store.calls;
-        pass(KindWatch.LATE_MILLIS + 1);
-        pass(KindWatch.LATE_MILLIS + 1);
+        pass(KindWatch.LATE_AFTER_MILLIS + 1);
+        pass(KindWatch.LATE_AFTER_MILLIS + 1);
         assertThat(store.calls).as("the second call has its whole time").isEqualTo(calls);
         store.failed.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "no answer in time"));
         pass(100);
         store.changed.accept(new ObjectChanges(List.of(new ObjectChanges.Change(object("a", 7), true)), at(7)));
-        assertThat(seen.lines).last().isEqualTo("deleted a away=true");
+        assertThat(listener.lines).last().isEqualTo("deleted a away=true");
     }
 
     // Guards against a denial that rests on an old word: asked for, the newest state is known after one call.
     @Test
-    void anOldWordIsConfirmedByOneCallForAllWhoAsk() {
+    void oneCallRefreshesAnOldStateForAllWhoWait() {
         List<Boolean> known = new ArrayList<>();
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
         assertThat(watch.current()).isTrue();
-        pass(LastWord.CURRENT_MILLIS + 1);
+        pass(LastResponse.MAX_CURRENT_AGE_MILLIS + 1);
         assertThat(watch.current()).isFalse();
         int calls = store.calls;
-        watch.confirm(() -> known.add(watch.current()));
-        watch.confirm(() -> known.add(watch.current()));
+        watch.refresh(() -> known.add(watch.current()));
+        watch.refresh(() -> known.add(watch.current()));
         assertThat(store.calls).isEqualTo(calls + 1);
         assertThat(store.waitMillis).isEqualTo(KindWatch.NO_WAIT_MILLIS);
         store.changed.accept(new ObjectChanges(List.of(), at(6)));
         assertThat(known).containsExactly(true, true);
         pass(0);
-        assertThat(store.waitMillis).as("the watch goes on").isEqualTo(KindWatch.WAIT_MILLIS);
+        assertThat(store.waitMillis).as("the watch goes on").isEqualTo(KindWatch.WATCH_WAIT_MILLIS);
     }
 
     // Guards against requests that wait for a store that is known to be away.
     @Test
-    void whileTheStoreIsAwayNobodyWaitsForIt() {
+    void aRefreshEndsAtOnceWhileTheStoreIsUnavailable() {
         List<Boolean> known = new ArrayList<>();
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
-        pass(LastWord.CURRENT_MILLIS + 1);
-        watch.confirm(() -> known.add(watch.current()));
+        pass(LastResponse.MAX_CURRENT_AGE_MILLIS + 1);
+        watch.refresh(() -> known.add(watch.current()));
         store.failed.accept(new StoreFailure(StoreFailure.Kind.DECLINED, "status 503"));
-        watch.confirm(() -> known.add(watch.current()));
+        watch.refresh(() -> known.add(watch.current()));
         assertThat(known).containsExactly(false, false);
     }
 
     // Guards against a denial that is true of an older copy alone, which the store shows until its writers have written
     // again.
     @Test
-    void whatAnOlderCopyShowsIsNotKnownToBeTheNewest() {
+    void theStateOfAnOlderCopyIsNotCurrentUntilWritersHaveWrittenAgain() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
         store.changed.accept(new ObjectChanges(List.of(), ofNextEra(4)));
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, ofNextEra(4)));
@@ -150,7 +152,7 @@
 
     // Guards against the same at a process that has just started: it can't tell how long ago the store came back.
     @Test
-    void aProcessThatHasJustStartedDoesNotTakeARestoredStoreForTheNewest() {
+    void aNewProcessDoesNotTakeTheStateOfARestoredStoreForCurrent() {
         store.listed.accept(new ObjectPage(List.of(), false, ofNextEra(4)));
         assertThat(watch.current()).isFalse();
     }
@@ -167,21 +169,21 @@
     }
 
     @Test
-    void aLostHistoryIsListedAnew() {
+    void lostHistoryLeadsToANewList() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
         store.failed.accept(new StoreFailure(StoreFailure.Kind.HISTORY_GONE, "status 410"));
         store.listed.accept(new ObjectPage(List.of(object("b", 9)), false, at(9)));
-        assertThat(seen.lines).containsExactly("listed a away=false", "listed b away=false");
+        assertThat(listener.lines).containsExactly("listed a away=false", "listed b away=false");
     }
 
     @Test
-    void anObjectThatCanNotBeReadDoesNotEndTheWatch() {
+    void anUnreadableObjectDoesNotEndTheWatch() {
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
-        ObjectChanges.Change bad = new ObjectChanges.Change(object(Seen.UNREADABLE, 7), false);
+        ObjectChanges.Change bad = new ObjectChanges.Change(object(RecordingListener.UNREADABLE, 7), false);
         ObjectChanges.Change good = new ObjectChanges.Change(object("a", 8), false);
         store.changed.accept(new ObjectChanges(List.of(bad, good), at(8)));
-        assertThat(seen.lines).last().isEqualTo("changed a");
-        pass(KindWatch.GATHER_MILLIS);
+        assertThat(listener.lines).last().isEqualTo("changed a");
+        pass(KindWatch.BATCH_MILLIS);
         assertThat(store.watchedFrom).isEqualTo(8);
     }
 
@@ -190,25 +192,25 @@
         store.listed.accept(new ObjectPage(List.of(object("a", 3), object("", -1)), true, at(5)));
         assertThat(store.after).isEqualTo("a");
         store.listed.accept(new ObjectPage(List.of(object("b", 4)), false, at(6)));
-        assertThat(seen.lines).containsExactly("listed a  b away=false");
+        assertThat(listener.lines).containsExactly("listed a  b away=false");
     }
 
     @Test
-    void aPageThatLeadsNoFurtherIsNoListAndAllIsAskedForAgain() {
+    void aPageWithoutANewLastNameRestartsTheList() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, at(5)));
         store.listed.accept(new ObjectPage(List.of(object("", -1)), true, at(5)));
-        assertThat(seen.lines).as("the rest would look gone").isEmpty();
+        assertThat(listener.lines).as("the rest would look gone").isEmpty();
         pass(300);
         assertThat(store.after).isNull();
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, at(5)));
         int calls = store.calls;
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, at(5)));
         assertThat(store.calls).as("the same page for ever").isEqualTo(calls);
-        assertThat(seen.lines).isEmpty();
+        assertThat(listener.lines).isEmpty();
     }
 
     @Test
-    void aWatchWhoseAnswerCanNotBeReadListsAnew() {
+    void anUnreadableWatchAnswerLeadsToANewList() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
         int calls = store.calls;
         store.failed.accept(new StoreFailure(StoreFailure.Kind.UNREADABLE, "cut short"));
@@ -216,11 +218,11 @@
         assertThat(store.calls).isEqualTo(calls + 1);
         store.listed.accept(new ObjectPage(List.of(object("a", 3), object("b", 7)), false, at(8)));
         assertThat(store.watchedFrom).isEqualTo(8);
-        assertThat(seen.lines).last().isEqualTo("listed a b away=true");
+        assertThat(listener.lines).last().isEqualTo("listed a b away=true");
     }
 
     @Test
-    void aRevisionBelowTheOneAskedForDoesNotLeadTheWatchBack() {
+    void aRevisionBelowTheRequestedOneDoesNotMoveTheWatchBack() {
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
         store.changed.accept(new ObjectChanges(List.of(), at(2)));
         pass(0);
@@ -228,13 +230,16 @@
     }
 
     @Test
-    void changesThatComeOneAfterTheOtherAreAskedForTogether() {
+    void changesInQuickSuccessionAreRequestedTogether() {
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
         int calls = store.calls;
         ObjectChanges.Change first = new ObjectChanges.Change(object("a", 7), false);
         store.changed.accept(new ObjectChanges(List.of(first), at(7)));
-        assertThat(seen.lines).as("the first change is in force at once").last().isEqualTo("changed a");
-        pass(KindWatch.GATHER_MILLIS - 1);
+        assertThat(listener.lines)
+                .as("the first change is in force at once")
+                .last()
+                .isEqualTo("changed a");
+        pass(KindWatch.BATCH_MILLIS - 1);
         assertThat(store.calls).isEqualTo(calls);
         pass(1);
         assertThat(store.calls).isEqualTo(calls + 1);
@@ -247,7 +252,7 @@
 
     /** The revision that was asked about exists again, so the store answers, without what came before it in this era. */
     @Test
-    void anAnswerOfALaterEraListsAnewAndWhatIsMissingThenMayBeBackSoon() {
+    void anAnswerOfALaterEraLeadsToANewListMarkedAsAfterAnOutage() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
         int calls = store.calls;
         ObjectChanges.Change change = new ObjectChanges.Change(object("c", 8), false);
@@ -255,31 +260,31 @@
         pass(0);
         assertThat(store.calls).as("a list, at once").isEqualTo(calls + 1);
         store.listed.accept(new ObjectPage(List.of(object("b", 4)), false, ofNextEra(8)));
-        assertThat(seen.lines).containsExactly("listed a away=false", "listed b away=true");
+        assertThat(listener.lines).containsExactly("listed a away=false", "listed b away=true");
         assertThat(store.watchedFrom).isEqualTo(8);
     }
 
     @Test
-    void pagesOfTwoErasAreNoList() {
+    void pagesOfTwoErasRestartTheList() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, at(5)));
         store.listed.accept(new ObjectPage(List.of(object("b", 4)), false, ofNextEra(4)));
-        assertThat(seen.lines).isEmpty();
+        assertThat(listener.lines).isEmpty();
         assertThat(store.after).isNull();
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, ofNextEra(5)));
         store.listed.accept(new ObjectPage(List.of(object("b", 4)), false, ofNextEra(5)));
-        assertThat(seen.lines).containsExactly("listed a b away=false");
+        assertThat(listener.lines).containsExactly("listed a b away=false");
     }
 
     @Test
-    void whatIsDeletedRightAfterAnOutageIsMarkedSo() {
+    void aDeletionRightAfterAnOutageIsMarkedSo() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
         store.failed.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "reset"));
         pass(100);
         store.changed.accept(new ObjectChanges(List.of(new ObjectChanges.Change(object("a", 7), true)), at(7)));
-        assertThat(seen.lines).last().isEqualTo("deleted a away=true");
+        assertThat(listener.lines).last().isEqualTo("deleted a away=true");
     }
 
-    private static final class Seen implements KindListener {
+    private static final class RecordingListener implements KindListener {
         private static final String UNREADABLE = "unreadable";
         private final List<String> lines = new ArrayList<>();
 
@@ -313,7 +318,7 @@
         private long watchedFrom;
         private long waitMillis;
         private int calls;
-        private int doubts;
+        private int retirements;
 
         @Override
         public void list(
@@ -339,8 +344,8 @@
         }
 
         @Override
-        public void doubtConnections() {
-            doubts++;
+        public void retireConnections() {
+            retirements++;
         }
 
         @Override
--- a/gateway/src/test/java/org/quetzalseam/gateway/store/MemoryStore.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/store/MemoryStore.java
@@ -18,7 +18,7 @@
     private int lists;
     private boolean declining;
     private boolean losingAnswers;
-    private @Nullable StoredObject recent;
+    private @Nullable StoredObject recentObject;
     private @Nullable List<StoredObject> recentList;
 
     /** Has calls declined, or no longer. */
@@ -32,12 +32,12 @@
     }
 
     /** Has an object answered, as it was, to all who take an old answer. */
-    public void readsRecently(StoredObject object) {
-        recent = object;
+    public void answerRecentReadsWith(StoredObject object) {
+        recentObject = object;
     }
 
     /** Has a list answered, as it was, to all who take an old answer; null for the newest again. */
-    public void listsRecently(@Nullable List<StoredObject> objects) {
+    public void answerRecentListsWith(@Nullable List<StoredObject> objects) {
         recentList = objects;
     }
 
@@ -103,9 +103,9 @@
     }
 
     @Override
-    public void doubtConnections() {}
+    public void retireConnections() {}
 
-    private boolean declined(Consumer<StoreFailure> failed) {
+    private boolean declines(Consumer<StoreFailure> failed) {
         shown = new StorePosition(era, shown.revision());
         if (declining) {
             failed.accept(new StoreFailure(StoreFailure.Kind.DECLINED, "status 503"));
@@ -125,7 +125,7 @@
     @Override
     public void list(String kind, @Nullable String after, Consumer<ObjectPage> done, Consumer<StoreFailure> failed) {
         lists++;
-        if (declined(failed)) {
+        if (declines(failed)) {
             return;
         }
         List<StoredObject> found = new ArrayList<>();
@@ -160,7 +160,7 @@
 
     @Override
     public void read(String kind, String name, Consumer<StoredObject> done, Consumer<StoreFailure> failed) {
-        if (declined(failed)) {
+        if (declines(failed)) {
             return;
         }
         StoredObject object = objects.get(kind + "/" + name);
@@ -173,7 +173,7 @@
 
     @Override
     public void readRecent(String kind, String name, Consumer<StoredObject> done, Consumer<StoreFailure> failed) {
-        StoredObject old = recent;
+        StoredObject old = recentObject;
         if (old == null) {
             read(kind, name, done, failed);
         } else {
@@ -184,7 +184,7 @@
     @Override
     public void create(
             String kind, String name, JsonNode spec, Consumer<StoredObject> done, Consumer<StoreFailure> failed) {
-        if (declined(failed)) {
+        if (declines(failed)) {
             return;
         }
         if (objects.containsKey(kind + "/" + name)) {
@@ -202,7 +202,7 @@
             JsonNode spec,
             Consumer<StoredObject> done,
             Consumer<StoreFailure> failed) {
-        if (declined(failed)) {
+        if (declines(failed)) {
             return;
         }
         StoredObject present = objects.get(kind + "/" + name);
--- a/gateway/src/test/java/org/quetzalseam/gateway/store/ObjectFaultsTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/store/ObjectFaultsTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aFaultIsToldOnceHoweverItsValueChanges() {
+    void aFaultIsLoggedOnceHoweverItsValueChanges() {
         for (int i = 0; i < 5; i++) {
             unreadable("a", "thing a.zone", Integer.toString(i));
         }
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void anotherFaultOrAnotherObjectIsToldToo() {
+    void anotherFaultOrAnotherObjectIsLoggedToo() {
         unreadable("a", "zone", "1");
         unreadable("a", "state", "1");
         unreadable("b", "zone", "1");
@@ -62,19 +62,19 @@
     }
 
     @Test
-    void anObjectThatWasSoundOrGoneInBetweenIsToldAgain() {
+    void aFaultIsLoggedAgainAfterTheObjectWasReadableOrDeleted() {
         unreadable("a", "zone", "1");
         faults.readable("a");
         faults.readable("a");
         unreadable("a", "zone", "1");
-        faults.gone("a");
+        faults.deleted("a");
         unreadable("a", "zone", "1");
         assertThat(lines).hasSize(4);
         assertThat(lines.get(1)).isEqualTo("event=object-readable kind=things name=a");
     }
 
     @Test
-    void aLineIsBoundedAndStaysOneLine() {
+    void aLogMessageIsBoundedAndStaysOneLine() {
         unreadable("n\n\"x".repeat(1_000), "where\r".repeat(1_000), "\u0000\"".repeat(100_000));
         assertThat(lines.get(0)).hasSizeLessThan(400).doesNotContain("\n").doesNotContain("\r");
     }
