--- a/core/src/main/java/org/quetzalseam/core/admission/SlotLedger.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/SlotLedger.java
@@ -6,7 +6,7 @@
 
 /**
  * The places of one engine's memory, and which attempt holds each. A place is taken by {@link #book} and given back by
- * {@link #release}; both act once for each attempt however often they are called, so that a cancellation and an end that
+ * {@link #releaseBooking}; both act once for each attempt however often they are called, so that a cancellation and an end that
  * cross can't free a place twice.
  *
  * <p>Not thread-safe: the gate that owns the ledger guards it.
--- a/gateway/src/main/java/org/quetzalseam/gateway/Departure.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/Departure.java
@@ -36,7 +36,7 @@
         timers.soon(() -> {
             logger.atInfo().log("event=leaving requests=%d", callers.inProgress());
             callers.leave();
-            router.leave(grace);
+            router.startDraining(grace);
             look(grace, begunAt);
         });
         try {
--- a/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryCensus.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryRegistry.java
@@ -21,35 +21,35 @@
  * it have left theirs too, and not from an old answer. A name that has gone from the store is left again, and where the store
  * has come back from an older copy the others are given time to do so too before they are taken for gone.
  */
-public final class EntryCensus {
+public final class EntryRegistry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** Kind of the entries' names in the store. */
     private static final String KIND = "quetzalseam-entries";
     /** How often names are counted at a small site, in milliseconds: entries come and go within minutes, and a call has its price. */
-    private static final long COUNT_MILLIS = 5_000;
+    private static final long COUNT_INTERVAL_MILLIS = 5_000;
     /** How long after its new name was left an entry counts first, in milliseconds: processes that start together differ by less. */
-    private static final long TOGETHER_MILLIS = 1_000;
+    private static final long FIRST_COUNT_DELAY_MILLIS = 1_000;
     /**
      * Entries for each of which so much time passes between two counts: a name takes some 150 bytes of an answer, so that
      * counting takes 0.6 KB a second at most, however many there are.
      */
-    private static final int ENTRIES_A_COUNT = 20;
+    private static final int ENTRIES_PER_EXTRA_INTERVAL = 20;
     /**
      * How long after the store has come back from an older copy the count doesn't fall, in nanoseconds: each entry hears of it
      * within one turn and leaves its name in the next at the latest.
      */
-    private static final long RETURN_NANOS = TimeUnit.MILLISECONDS.toNanos(2 * COUNT_MILLIS);
+    private static final long RESTORE_HOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(2 * COUNT_INTERVAL_MILLIS);
 
     private final Timers timers;
     private final ObjectStore store;
     private final String self;
-    private final Consumer<EntryCount> counted;
+    private final Consumer<EntryCount> listener;
     private boolean registered;
-    private @Nullable EntryCount known;
-    private int turnsLeft;
+    private @Nullable EntryCount lastCount;
+    private int ticksUntilCount;
     private long era;
-    private boolean everRestored;
-    private long restoredAt;
+    private boolean storeWasRestored;
+    private long restoredAtNanos;
 
     /**
      * Creates a census.
@@ -57,31 +57,31 @@
      * @param timers the event loop's timers
      * @param store the platform's store
      * @param self this entry's name
-     * @param counted takes the number of entries and this one's rank, whenever either has changed
+     * @param listener takes the number of entries and this one's rank, whenever either has changed
      */
-    public EntryCensus(Timers timers, ObjectStore store, String self, Consumer<EntryCount> counted) {
+    public EntryRegistry(Timers timers, ObjectStore store, String self, Consumer<EntryCount> counted) {
         this.timers = timers;
         this.store = store;
         this.self = self;
-        this.counted = counted;
+        this.listener = counted;
     }
 
     /** Leaves this entry's name and begins to count. */
     public void start() {
-        turn();
-        timers.every(COUNT_MILLIS, this::turn);
+        tick();
+        timers.every(COUNT_INTERVAL_MILLIS, this::tick);
     }
 
-    private void turn() {
-        noteEra(store.position().era());
+    private void tick() {
+        updateEra(store.position().era());
         if (!registered) {
             register();
-        } else if (turnsLeft > 0) {
-            turnsLeft--;
+        } else if (ticksUntilCount > 0) {
+            ticksUntilCount--;
         } else {
-            EntryCount last = known;
-            turnsLeft = last == null ? 0 : last.entries() / ENTRIES_A_COUNT;
-            count();
+            EntryCount last = lastCount;
+            ticksUntilCount = last == null ? 0 : last.entries() / ENTRIES_PER_EXTRA_INTERVAL;
+            countFromRecentList();
         }
     }
 
@@ -91,50 +91,50 @@
                 self,
                 JsonNodeFactory.instance.objectNode(),
                 object -> {
-                    noteRegistered();
-                    timers.after(TOGETHER_MILLIS, this::countNewest);
+                    markRegistered();
+                    timers.after(FIRST_COUNT_DELAY_MILLIS, this::countFromNewestList);
                 },
                 this::registerFailed);
     }
 
     private void registerFailed(StoreFailure failure) {
         if (failure.kind() == StoreFailure.Kind.CONFLICT) {
-            noteRegistered();
-            count();
+            markRegistered();
+            countFromRecentList();
         } else {
             countFailed(failure);
         }
     }
 
-    private void noteRegistered() {
+    private void markRegistered() {
         registered = true;
         era = store.position().era();
     }
 
-    private void countNewest() {
-        store.list(KIND, null, this::page, EntryCensus::countFailed);
+    private void countFromNewestList() {
+        store.list(KIND, null, this::handlePage, EntryRegistry::countFailed);
     }
 
-    private void count() {
-        store.listRecent(KIND, this::page, EntryCensus::countFailed);
+    private void countFromRecentList() {
+        store.listRecent(KIND, this::handlePage, EntryRegistry::countFailed);
     }
 
     private static void countFailed(StoreFailure failure) {
         logger.atInfo().log("event=census-failed kind=%s detail=\"%s\"", failure.kind(), failure.detail());
     }
 
-    private void noteEra(long seen) {
+    private void updateEra(long seen) {
         if (registered && seen != era) {
             logger.atInfo().log("event=census-restored era_before=%d era=%d", era, seen);
             registered = false;
-            everRestored = true;
-            restoredAt = timers.now();
+            storeWasRestored = true;
+            restoredAtNanos = timers.now();
         }
         era = seen;
     }
 
-    private void page(ObjectPage page) {
-        noteEra(page.position().era());
+    private void handlePage(ObjectPage page) {
+        updateEra(page.position().era());
         Set<String> names = page.objects().stream().map(StoredObject::name).collect(Collectors.toSet());
         if (names.add(self)) {
             // Whoever removed it, this entry lives; an old answer may also lack it, and leaving it again does no harm.
@@ -143,19 +143,19 @@
         int before =
                 (int) names.stream().filter(name -> name.compareTo(self) < 0).count();
         EntryCount count = new EntryCount(names.size(), before);
-        if (count.equals(known) || mayBeTooLow(count)) {
+        if (count.equals(lastCount) || mayBeTooLow(count)) {
             return;
         }
-        known = count;
+        lastCount = count;
         logger.atInfo().log("event=entries-counted entries=%d rank=%d", count.entries(), count.rank());
-        counted.accept(count);
+        listener.accept(count);
     }
 
     private boolean mayBeTooLow(EntryCount count) {
-        EntryCount last = known;
+        EntryCount last = lastCount;
         return last != null
                 && count.entries() < last.entries()
-                && everRestored
-                && timers.now() - restoredAt < RETURN_NANOS;
+                && storeWasRestored
+                && timers.now() - restoredAtNanos < RESTORE_HOLD_NANOS;
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/Forwarding.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/Forwarding.java
@@ -6,18 +6,18 @@
  * What an entry adds to a request that it sends to an endpoint. Immutable.
  *
  * @param expectedEndpoint id of the endpoint that may run it; any other refuses
- * @param patienceMillis how long the answer is of use
+ * @param remainingMillis how long the answer is of use
  * @param prefillOnly whether only the prompt is to be read
  * @param kvSource where the KV cache of its prompt lies, or null
- * @param reservation the memory booked for it, or null
+ * @param booking the memory booked for it, or null
  * @param resumeAfter the last event delivered, when a stream goes on, or null
  */
 public record Forwarding(
         String expectedEndpoint,
-        long patienceMillis,
+        long remainingMillis,
         boolean prefillOnly,
         @Nullable String kvSource,
-        @Nullable String reservation,
+        @Nullable String booking,
         @Nullable String resumeAfter) {
     /** Returns what is added to a request that an endpoint runs as a whole. */
     public static Forwarding whole(String endpoint, long patienceMillis) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/Protocol.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/Protocol.java
@@ -18,22 +18,22 @@
     RequestFacts facts(HttpHeaders headers);
 
     /** Takes out what callers may not set, and writes what the entry adds. */
-    void forward(HttpHeaders headers, Forwarding forwarding);
+    void rewriteHeaders(HttpHeaders headers, Forwarding forwarding);
 
     /** Returns what a reply says beside its status. */
     ReplyFacts facts(HttpResponse reply);
 
     /** Tells the caller when to come back. */
-    void comeBackAfter(HttpHeaders headers, long millis);
+    void setRetryAfter(HttpHeaders headers, long millis);
 
     /** Returns a call that books decode memory and a place. */
-    FullHttpRequest reserve(int tokens, long millis);
+    FullHttpRequest bookMemory(int tokens, long millis);
 
-    /** Returns the id of the booking from the reply to {@link #reserve}. */
-    Optional<String> reservation(String body);
+    /** Returns the id of the booking from the reply to {@link #bookMemory}. */
+    Optional<String> bookingId(String body);
 
     /** Returns a call that gives a booking back. */
-    FullHttpRequest release(String reservation);
+    FullHttpRequest releaseBooking(String reservation);
 
     /** Returns the handle of a KV cache from the reply to a prefill. */
     Optional<String> kvHandle(String body);
--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/RequestFacts.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/RequestFacts.java
@@ -7,13 +7,13 @@
  * What a request says of itself. Immutable.
  *
  * @param id the caller's id of this try, empty when it gave none
- * @param patienceMillis how long the caller will wait from now, or {@code Long.MAX_VALUE} when it doesn't say
+ * @param callerTimeoutMillis how long the caller will wait from now, or {@code Long.MAX_VALUE} when it doesn't say
  * @param demand the size of a generation, or null when the request isn't one
  * @param resumesAfter the last event that the caller has, when it resumes a stream
  */
 public record RequestFacts(
         String id,
-        long patienceMillis,
+        long callerTimeoutMillis,
         @Nullable TokenDemand demand,
         @Nullable String resumesAfter) {
     /** Size that is given for a request that doesn't say any: the same for all of them. */
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookedMemory.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookedMemory.java
@@ -8,6 +8,6 @@
  * @param engine the engine
  * @param id the engine's name of the booking
  * @param tokens how much was booked
- * @param readsPrompt whether the engine is to read the prompt as well
+ * @param prefillsPrompt whether the engine is to read the prompt as well
  */
-record BookedMemory(Endpoint engine, String id, int tokens, boolean readsPrompt) {}
+record BookedMemory(Endpoint engine, String id, int tokens, boolean prefillsPrompt) {}
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ReservationDesk.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
@@ -25,82 +25,82 @@
  * so. Those who find no room wait here and ask again: those who can still be in time first, and among them those who cost the
  * least, as every answer is worth about the same and more of them fit.
  */
-final class ReservationDesk {
+final class BookingManager {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** How long an engine that refused isn't asked again for as much, in nanoseconds: a few engine steps. */
-    private static final long ASK_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+    private static final long RETRY_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
     /**
      * The same for those who are late already, in nanoseconds: so much longer that a place that gets free is nearly always
      * found first by someone, at this entry or another, whose answer can still be in time.
      */
-    private static final long ASK_AGAIN_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long LATE_RETRY_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
     /** How often those who wait are looked at, in milliseconds. */
-    private static final long LOOK_MILLIS = 20;
+    private static final long CHECK_INTERVAL_MILLIS = 20;
     /** How long a booking holds before its request arrives, in milliseconds: several times a prompt's reading. */
-    private static final long BOOKING_MILLIS = 2_000;
+    private static final long BOOKING_LIFETIME_MILLIS = 2_000;
     /** How long an engine may take to answer, in milliseconds: many round trips, yet a part of the latency objective. */
-    private static final long ANSWER_MILLIS = 150;
+    private static final long ANSWER_TIMEOUT_MILLIS = 150;
 
     /** Bookings asked of one engine at a time: the answer to one tells what another can hope for. */
-    private static final int MAX_ASKED = 2;
+    private static final int MAX_INQUIRIES_PER_ENGINE = 2;
 
     /** Weight of the newest generation in the typical time: about the last twenty count. */
-    private static final double NEWEST = 0.05;
+    private static final double NEWEST_WEIGHT = 0.05;
     /** Time of a generation before the first one has ended, in milliseconds; it counts as much as a single one. */
-    private static final double FIRST_MILLIS = 3_000;
+    private static final double INITIAL_TYPICAL_MILLIS = 3_000;
     /** Part of the time to come back by which it is spread either way. */
-    private static final double SPREAD = 0.25;
+    private static final double RETRY_AFTER_SPREAD_SHARE = 0.25;
 
     /** How often engines that are gone are forgotten, in milliseconds. */
-    private static final long FORGET_MILLIS = 10_000;
+    private static final long FORGET_INTERVAL_MILLIS = 10_000;
     /** Tokens by which engines hand out memory. */
     private static final int BLOCK_TOKENS = 16;
 
     /** How long an engine may take to confirm that something was given back, in milliseconds; it lapses by itself soon after. */
-    private static final long GIVE_BACK_MILLIS = 1_000;
+    private static final long RELEASE_TIMEOUT_MILLIS = 1_000;
 
     private static final int MAX_REPLY_BYTES = 64 * 1024;
 
     private final RunContext context;
     private final String service;
-    private final List<Reservation> waiting = new ArrayList<>();
+    private final List<BookingRequest> waiting = new ArrayList<>();
     private final Map<Endpoint, Refusal> refusals = new HashMap<>();
-    private final Map<Endpoint, Integer> booked = new HashMap<>();
-    private final Map<Endpoint, Integer> asked = new HashMap<>();
+    private final Map<Endpoint, Integer> bookedTokens = new HashMap<>();
+    private final Map<Endpoint, Integer> inquiries = new HashMap<>();
     private final MemoryBooking booking;
-    private boolean looking;
-    private final PromptReaders readers;
-    private final ReadingTurns turns;
-    private double typicalMillis = FIRST_MILLIS;
-    private int typicalOf = 1;
+    private boolean checkScheduled;
+    private final PrefillEngines prefillEngines;
+    private final PrefillScheduler prefillScheduler;
+    private double typicalMillis = INITIAL_TYPICAL_MILLIS;
+    private int typicalCount = 1;
 
     /** An engine's last refusal: when, and of how many tokens. */
     private record Refusal(long at, int tokens) {}
 
-    ReservationDesk(RunContext context, String service) {
+    BookingManager(RunContext context, String service) {
         this.context = context;
         this.service = service;
-        this.readers = new PromptReaders(context, service);
-        this.turns = new ReadingTurns(context, service, readers);
+        this.prefillEngines = new PrefillEngines(context, service);
+        this.prefillScheduler = new PrefillScheduler(context, service, prefillEngines);
         this.booking = new MemoryBooking(
                 context.settings().bookedDeviations(), context.settings().admittedDeviations(), BLOCK_TOKENS);
-        context.timers().every(FORGET_MILLIS, this::forgetGone);
+        context.timers().every(FORGET_INTERVAL_MILLIS, this::forgetRemoved);
     }
 
-    private void forgetGone() {
+    private void forgetRemoved() {
         refusals.keySet().removeIf(engine -> !context.directory().usable(engine));
-        booked.values().removeIf(tokens -> tokens == 0);
-        asked.values().removeIf(count -> count == 0);
+        bookedTokens.values().removeIf(tokens -> tokens == 0);
+        inquiries.values().removeIf(count -> count == 0);
     }
 
     /** Takes a generation in; its outcome follows, never before this call returns. */
-    void enter(Reservation reservation) {
+    void submit(BookingRequest reservation) {
         waiting.add(reservation);
-        context.timers().soon(this::serve);
+        context.timers().soon(this::checkQueue);
     }
 
     /** Takes a generation out that needs no memory any more. */
-    void leave(Reservation reservation) {
+    void remove(BookingRequest reservation) {
         reservation.cancel();
         waiting.remove(reservation);
     }
@@ -111,113 +111,116 @@
     }
 
     /** Returns who reads the prompts. */
-    PromptReaders readers() {
-        return readers;
+    PrefillEngines prefillEngines() {
+        return prefillEngines;
     }
 
     /** Returns when they read them. */
-    ReadingTurns turns() {
-        return turns;
+    PrefillScheduler prefillScheduler() {
+        return prefillScheduler;
     }
 
     /** Sets among how many entries the engines are shared, and this one's place among them. */
     void entries(EntryCount counted) {
-        readers.entries(counted.entries());
-        turns.entries(counted);
+        prefillEngines.entries(counted.entries());
+        prefillScheduler.entries(counted);
     }
 
     /** Notes how long a generation took from its arrival to its end, and how many events it made. */
-    void ended(long millis, RequestFacts facts, long events) {
+    void recordEnded(long millis, RequestFacts facts, long events) {
         TokenDemand demand = facts.demand();
         if (demand != null && facts.resumesAfter() == null) {
             booking.ended(demand, (double) events);
         }
-        typicalOf++;
-        typicalMillis += Math.max(NEWEST, 1.0 / typicalOf) * (millis - typicalMillis);
+        typicalCount++;
+        typicalMillis += Math.max(NEWEST_WEIGHT, 1.0 / typicalCount) * (millis - typicalMillis);
     }
 
     /**
      * Returns when a refused caller finds room, in milliseconds: all that fills the engines now has ended after about the
      * time of a generation, or when the prompts before it are read, if that takes longer. Spread, so that those who were refused together don't come back together.
      */
-    long comeBackMillis(double objectiveMillis) {
-        double spread = 1 - SPREAD + 2 * SPREAD * ThreadLocalRandom.current().nextDouble();
-        return Math.round(Math.max(typicalMillis, readers.comeBackMillis(objectiveMillis)) * spread);
+    long retryAfterMillis(double objectiveMillis) {
+        double spread = 1
+                - RETRY_AFTER_SPREAD_SHARE
+                + 2 * RETRY_AFTER_SPREAD_SHARE * ThreadLocalRandom.current().nextDouble();
+        return Math.round(Math.max(typicalMillis, prefillEngines.retryAfterMillis(objectiveMillis)) * spread);
     }
 
     /** Notes that a booking's generation has ended: its engine has room. */
-    void freed(Endpoint engine, int tokens) {
-        booked.merge(engine, -tokens, Integer::sum);
+    void recordFreed(Endpoint engine, int tokens) {
+        bookedTokens.merge(engine, -tokens, Integer::sum);
         refusals.remove(engine);
         if (!waiting.isEmpty()) {
-            context.timers().soon(this::serve);
+            context.timers().soon(this::checkQueue);
         }
     }
 
-    private void serve() {
+    private void checkQueue() {
         long now = context.now();
-        List<Reservation> order = new ArrayList<>(waiting);
-        order.sort(Comparator.<Reservation, Boolean>comparing(reservation -> reservation.late(now))
-                .thenComparingDouble(Reservation::cost));
-        for (Reservation reservation : order) {
-            if (reservation.over()) {
+        List<BookingRequest> order = new ArrayList<>(waiting);
+        order.sort(Comparator.<BookingRequest, Boolean>comparing(reservation -> reservation.isLate(now))
+                .thenComparingDouble(BookingRequest::cost));
+        for (BookingRequest reservation : order) {
+            if (reservation.finished()) {
                 waiting.remove(reservation);
-            } else if (now - reservation.until() >= 0 && !reservation.asking()) {
+            } else if (now - reservation.waitUntil() >= 0 && !reservation.inquiring()) {
                 waiting.remove(reservation);
                 reservation.refuse(null);
-            } else if (!reservation.asking()) {
-                askForRoom(reservation, now);
+            } else if (!reservation.inquiring()) {
+                askBestEngine(reservation, now);
             }
         }
-        lookAgain();
+        scheduleCheck();
     }
 
-    private void lookAgain() {
-        if (!waiting.isEmpty() && !looking) {
-            looking = true;
-            context.after(LOOK_MILLIS, () -> {
-                looking = false;
-                serve();
+    private void scheduleCheck() {
+        if (!waiting.isEmpty() && !checkScheduled) {
+            checkScheduled = true;
+            context.after(CHECK_INTERVAL_MILLIS, () -> {
+                checkScheduled = false;
+                checkQueue();
             });
         }
     }
 
-    private void askForRoom(Reservation reservation, long now) {
-        List<Endpoint> engines = LeftOut.without(context.directory().usable(service, Stage.DECODE), now);
+    private void askBestEngine(BookingRequest reservation, long now) {
+        List<Endpoint> engines =
+                EngineExclusion.withoutExcluded(context.directory().usable(service, Stage.DECODE), now);
         if (engines.isEmpty()) {
             waiting.remove(reservation);
             reservation.refuse("no decode engine");
             return;
         }
         Optional<Endpoint> engine = engines.stream()
-                .filter(candidate -> reservation.takes(candidate) && mayHaveRoom(candidate, reservation, now))
+                .filter(candidate -> reservation.accepts(candidate) && mayHaveRoom(candidate, reservation, now))
                 .min(Comparator.<Endpoint, Boolean>comparing(
                                 candidate -> candidate.health().suspect(now))
-                        .thenComparingInt(candidate -> booked.getOrDefault(candidate, 0))
+                        .thenComparingInt(candidate -> bookedTokens.getOrDefault(candidate, 0))
                         .thenComparing(candidate -> ThreadLocalRandom.current().nextInt()));
-        if (engine.isEmpty() && reservation.impatient()) {
+        if (engine.isEmpty() && reservation.refusedWhenFull()) {
             waiting.remove(reservation);
             reservation.refuse(null);
         }
         engine.ifPresent(chosen -> ask(reservation, chosen));
     }
 
-    private boolean mayHaveRoom(Endpoint engine, Reservation reservation, long now) {
-        if (asked.getOrDefault(engine, 0) >= MAX_ASKED || !engine.reachable()) {
+    private boolean mayHaveRoom(Endpoint engine, BookingRequest reservation, long now) {
+        if (inquiries.getOrDefault(engine, 0) >= MAX_INQUIRIES_PER_ENGINE || !engine.reachable()) {
             return false;
         }
         Refusal refusal = refusals.get(engine);
-        long pause = reservation.late(now) ? ASK_AGAIN_LATE_NANOS : ASK_AGAIN_NANOS;
+        long pause = reservation.isLate(now) ? LATE_RETRY_PAUSE_NANOS : RETRY_PAUSE_NANOS;
         return refusal == null || now - refusal.at() > pause || reservation.tokens() < refusal.tokens();
     }
 
-    private void ask(Reservation reservation, Endpoint engine) {
-        reservation.asking(true);
-        asked.merge(engine, 1, Integer::sum);
-        book(engine, reservation.tokens(), new BookingOutcome() {
+    private void ask(BookingRequest reservation, Endpoint engine) {
+        reservation.inquiring(true);
+        inquiries.merge(engine, 1, Integer::sum);
+        book(engine, reservation.tokens(), new BookingListener() {
             @Override
             public void booked(String id) {
-                askForMore(reservation, engine, id);
+                checkSpareRoom(reservation, engine, id);
             }
 
             @Override
@@ -233,34 +236,34 @@
     }
 
     /** The usual size is booked; the room that a long one needs has to be free, but doesn't stay booked. */
-    private void askForMore(Reservation reservation, Endpoint engine, String id) {
-        if (reservation.over() || reservation.room() == 0) {
+    private void checkSpareRoom(BookingRequest reservation, Endpoint engine, String id) {
+        if (reservation.finished() || reservation.room() == 0) {
             granted(reservation, engine, id);
             return;
         }
-        book(engine, reservation.room(), new BookingOutcome() {
+        book(engine, reservation.room(), new BookingListener() {
             @Override
             public void booked(String room) {
-                giveBack(engine, room);
+                release(engine, room);
                 granted(reservation, engine, id);
             }
 
             @Override
             public void full() {
-                giveBack(engine, id);
+                release(engine, id);
                 refused(reservation, engine);
             }
 
             @Override
             public void failed(CallFailure failure) {
-                giveBack(engine, id);
+                release(engine, id);
                 unanswered(reservation, engine, failure);
             }
         });
     }
 
     /** What an engine answers to a booking. */
-    private interface BookingOutcome {
+    private interface BookingListener {
         void booked(String id);
 
         void full();
@@ -268,55 +271,55 @@
         void failed(CallFailure failure);
     }
 
-    private void book(Endpoint engine, int tokens, BookingOutcome outcome) {
+    private void book(Endpoint engine, int tokens, BookingListener outcome) {
         WholeReply reply = new WholeReply(
                 MAX_REPLY_BYTES,
                 (head, body) -> {
                     String text = WholeReply.text(body);
                     body.release();
                     Optional<String> id =
-                            head.status().code() == 200 ? context.protocol().reservation(text) : Optional.empty();
+                            head.status().code() == 200 ? context.protocol().bookingId(text) : Optional.empty();
                     id.ifPresentOrElse(outcome::booked, outcome::full);
                 },
                 outcome::failed);
-        engine.control(context.protocol().reserve(tokens, BOOKING_MILLIS), ANSWER_MILLIS, reply);
+        engine.control(context.protocol().bookMemory(tokens, BOOKING_LIFETIME_MILLIS), ANSWER_TIMEOUT_MILLIS, reply);
     }
 
-    private void refused(Reservation reservation, Endpoint engine) {
-        answerEnds(reservation, engine);
+    private void refused(BookingRequest reservation, Endpoint engine) {
+        recordAnswer(reservation, engine);
         refusals.put(engine, new Refusal(context.now(), reservation.tokens()));
-        serve();
+        checkQueue();
     }
 
-    private void granted(Reservation reservation, Endpoint engine, String id) {
-        answerEnds(reservation, engine);
-        if (reservation.over()) {
-            giveBack(engine, id);
+    private void granted(BookingRequest reservation, Endpoint engine, String id) {
+        recordAnswer(reservation, engine);
+        if (reservation.finished()) {
+            release(engine, id);
             return;
         }
         waiting.remove(reservation);
-        booked.merge(engine, reservation.tokens(), Integer::sum);
+        bookedTokens.merge(engine, reservation.tokens(), Integer::sum);
         reservation.grant(engine, id);
     }
 
-    private void answerEnds(Reservation reservation, Endpoint engine) {
-        reservation.asking(false);
-        asked.merge(engine, -1, Integer::sum);
+    private void recordAnswer(BookingRequest reservation, Endpoint engine) {
+        reservation.inquiring(false);
+        inquiries.merge(engine, -1, Integer::sum);
     }
 
-    private void unanswered(Reservation reservation, Endpoint engine, CallFailure failure) {
-        answerEnds(reservation, engine);
+    private void unanswered(BookingRequest reservation, Endpoint engine, CallFailure failure) {
+        recordAnswer(reservation, engine);
         engine.health().failed(context.now());
         refusals.put(engine, new Refusal(context.now(), 0));
         logger.atInfo().log(
                 "event=booking-failed service=%s endpoint=%s kind=%s detail=\"%s\"",
                 service, engine.member().id(), failure.kind(), failure.detail());
-        serve();
+        checkQueue();
     }
 
     /** Gives a booking back that won't be used. */
-    void giveBack(Endpoint engine, String id) {
-        control(engine, context.protocol().release(id), "release");
+    void release(Endpoint engine, String id) {
+        control(engine, context.protocol().releaseBooking(id), "release");
     }
 
     /** Drops a KV cache that won't be used. */
@@ -327,7 +330,7 @@
     private void control(Endpoint engine, io.netty.handler.codec.http.FullHttpRequest request, String what) {
         engine.control(
                 request,
-                GIVE_BACK_MILLIS,
+                RELEASE_TIMEOUT_MILLIS,
                 new WholeReply(
                         MAX_REPLY_BYTES,
                         (head, body) -> body.release(),
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/DecodeReply.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/DecodeReply.java
@@ -14,7 +14,7 @@
     private static final int MAX_ANSWER_BYTES = 1024 * 1024;
 
     /** What the reply turns out to be. */
-    interface Outcome {
+    interface Listener {
         /** A stream begins. */
         void begun(HttpResponse head);
 
@@ -32,14 +32,14 @@
     }
 
     private final Protocol protocol;
-    private final Outcome outcome;
-    private final ByteBuf whole = Unpooled.buffer();
+    private final Listener listener;
+    private final ByteBuf bufferedBody = Unpooled.buffer();
     private @Nullable HttpResponse head;
     private boolean streaming;
 
-    DecodeReply(Protocol protocol, Outcome outcome) {
+    DecodeReply(Protocol protocol, Listener outcome) {
         this.protocol = protocol;
-        this.outcome = outcome;
+        this.listener = outcome;
     }
 
     @Override
@@ -48,18 +48,18 @@
         ReplyFacts facts = protocol.facts(response);
         streaming = response.status().code() == 200 && facts.signed() && !facts.notRun();
         if (streaming) {
-            outcome.begun(response);
+            listener.begun(response);
         }
     }
 
     @Override
     public void body(ByteBuf piece) {
         if (streaming) {
-            outcome.piece(piece);
+            listener.piece(piece);
             return;
         }
-        if (whole.readableBytes() + piece.readableBytes() <= MAX_ANSWER_BYTES) {
-            whole.writeBytes(piece);
+        if (bufferedBody.readableBytes() + piece.readableBytes() <= MAX_ANSWER_BYTES) {
+            bufferedBody.writeBytes(piece);
         }
         piece.release();
     }
@@ -71,14 +71,14 @@
             return;
         }
         if (streaming) {
-            outcome.streamEnded();
+            listener.streamEnded();
         } else {
-            outcome.answered(response, whole);
+            listener.answered(response, bufferedBody);
         }
     }
 
     @Override
     public void failed(CallFailure failure) {
-        outcome.failed(failure);
+        listener.failed(failure);
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/LeftOut.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EngineExclusion.java
@@ -4,14 +4,14 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /** Leaves out engines that turn work away. Stateless. */
-final class LeftOut {
-    private LeftOut() {}
+final class EngineExclusion {
+    private EngineExclusion() {}
 
     /**
      * Returns the engines without those that are left out. Where those would be more than half, all are returned: then the cause
      * is most likely not theirs, such as caches that lapse or a network that has slowed down.
      */
-    static List<Endpoint> without(List<Endpoint> engines, long now) {
+    static List<Endpoint> withoutExcluded(List<Endpoint> engines, long now) {
         List<Endpoint> left =
                 engines.stream().filter(engine -> !engine.leftOut(now)).toList();
         return 2 * left.size() >= engines.size() ? left : engines;
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EventStream.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EventStreamParser.java
@@ -9,14 +9,14 @@
  * Cuts a stream's bytes into whole events and keeps the last event's id, so that a piece of an event is never delivered. Not
  * thread-safe.
  */
-final class EventStream {
+final class EventStreamParser {
     private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
     /** Longest event that is collected, in bytes; a longer one is treated as broken. */
     private static final int MAX_EVENT_BYTES = 1024 * 1024;
 
-    private ByteBuf rest = Unpooled.buffer();
+    private ByteBuf buffered = Unpooled.buffer();
     private @Nullable String lastId;
-    private long events;
+    private long eventCount;
 
     /** Returns the id of the last whole event, or null before the first. */
     @Nullable
@@ -25,64 +25,64 @@
     }
 
     /** Returns how many whole events have passed. */
-    long events() {
-        return events;
+    long eventCount() {
+        return eventCount;
     }
 
     /** Returns whether a piece of an event is left that has no end. */
-    boolean brokenOff() {
-        return rest.isReadable();
+    boolean hasIncompleteEvent() {
+        return buffered.isReadable();
     }
 
     /** Forgets a piece of an event: the stream goes on from the last whole one. */
-    void restart() {
-        rest.clear();
+    void discardIncompleteEvent() {
+        buffered.clear();
     }
 
     /** Takes bytes and returns the whole events among them, possibly none. The caller releases what is returned. */
-    ByteBuf take(ByteBuf piece) {
-        rest.writeBytes(piece);
+    ByteBuf append(ByteBuf piece) {
+        buffered.writeBytes(piece);
         piece.release();
-        if (rest.readableBytes() > MAX_EVENT_BYTES) {
+        if (buffered.readableBytes() > MAX_EVENT_BYTES) {
             throw new IllegalStateException("an event is longer than " + MAX_EVENT_BYTES + " bytes");
         }
         int end = scan();
-        ByteBuf whole = Unpooled.copiedBuffer(rest.slice(rest.readerIndex(), end - rest.readerIndex()));
-        rest.readerIndex(end);
-        rest.discardReadBytes();
+        ByteBuf whole = Unpooled.copiedBuffer(buffered.slice(buffered.readerIndex(), end - buffered.readerIndex()));
+        buffered.readerIndex(end);
+        buffered.discardReadBytes();
         return whole;
     }
 
     /** Walks the lines, counts events and notes ids. Returns the index after the last whole event. */
     private int scan() {
-        int endOfEvents = rest.readerIndex();
-        int line = rest.readerIndex();
+        int endOfEvents = buffered.readerIndex();
+        int line = buffered.readerIndex();
         @Nullable String id = null;
         while (true) {
-            int newline = rest.indexOf(line, rest.writerIndex(), (byte) '\n');
+            int newline = buffered.indexOf(line, buffered.writerIndex(), (byte) '\n');
             if (newline < 0) {
                 return endOfEvents;
             }
             int length = newline - line;
-            if (length == 0 || (length == 1 && rest.getByte(line) == '\r')) {
+            if (length == 0 || (length == 1 && buffered.getByte(line) == '\r')) {
                 endOfEvents = newline + 1;
-                events++;
+                eventCount++;
                 lastId = id == null ? lastId : id;
                 id = null;
-            } else if (beginsWithId(line, length)) {
-                id = rest.toString(line + ID_FIELD.length, length - ID_FIELD.length, StandardCharsets.US_ASCII)
+            } else if (startsWithIdField(line, length)) {
+                id = buffered.toString(line + ID_FIELD.length, length - ID_FIELD.length, StandardCharsets.US_ASCII)
                         .strip();
             }
             line = newline + 1;
         }
     }
 
-    private boolean beginsWithId(int line, int length) {
+    private boolean startsWithIdField(int line, int length) {
         if (length < ID_FIELD.length) {
             return false;
         }
         for (int i = 0; i < ID_FIELD.length; i++) {
-            if (rest.getByte(line + i) != ID_FIELD[i]) {
+            if (buffered.getByte(line + i) != ID_FIELD[i]) {
                 return false;
             }
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/CallerDue.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
@@ -5,28 +5,28 @@
 import org.quetzalseam.gateway.caller.Exchange;
 
 /** How long a generation's caller may still wait for the first event. Used on the event loop only. */
-final class CallerDue {
+final class FirstEventDeadline {
     private final Exchange exchange;
     private final RouteRule route;
     private final ForwardedRequest forwarded;
-    private final long spentBefore;
+    private final long earlierAttemptsMillis;
 
-    CallerDue(Exchange exchange, RouteRule route, ForwardedRequest forwarded, long spentBefore) {
+    FirstEventDeadline(Exchange exchange, RouteRule route, ForwardedRequest forwarded, long spentBefore) {
         this.exchange = exchange;
         this.route = route;
         this.forwarded = forwarded;
-        this.spentBefore = spentBefore;
+        this.earlierAttemptsMillis = spentBefore;
     }
 
     /** Returns the longest pause between events that is in time, in milliseconds; 0 where there is no such objective. */
-    double pauseMillis() {
+    double maxPauseMillis() {
         return (double) route.pauseMillis();
     }
 
     /** Returns what is left at this moment: an answer whose first event comes after its caller has given up is of no use. */
-    ReadingPool.Due now() {
-        double inTime = (double) route.targetMillis() - exchange.ageMillis() - spentBefore;
-        long left = Math.min(forwarded.leftMillis(), route.silenceMillis() - exchange.ageMillis());
+    ReadingPool.Due remaining() {
+        double inTime = (double) route.targetMillis() - exchange.ageMillis() - earlierAttemptsMillis;
+        long left = Math.min(forwarded.remainingMillis(), route.silenceMillis() - exchange.ageMillis());
         return new ReadingPool.Due(inTime, (double) left, (double) route.targetMillis());
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ForwardedRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ForwardedRequest.java
@@ -18,11 +18,11 @@
     ForwardedRequest(Exchange exchange, Protocol protocol, RouteRule route) {
         this.exchange = exchange;
         this.protocol = protocol;
-        this.deadlineMillis = Math.min(exchange.facts().patienceMillis(), route.timeoutMillis());
+        this.deadlineMillis = Math.min(exchange.facts().callerTimeoutMillis(), route.timeoutMillis());
     }
 
     /** Returns how long an answer is still of use, in milliseconds. */
-    long leftMillis() {
+    long remainingMillis() {
         return deadlineMillis - exchange.ageMillis();
     }
 
@@ -34,7 +34,7 @@
                 exchange.request().uri());
         head.headers().set(exchange.request().headers());
         HopHeaders.remove(head.headers());
-        protocol.forward(head.headers(), forwarding);
+        protocol.rewriteHeaders(head.headers(), forwarding);
         return head;
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
@@ -20,27 +20,27 @@
  */
 final class GenerationRun {
     /** Latency objectives after which an engine without a first event is taken to be silent. */
-    private static final int SILENT_TARGETS = 2;
+    private static final int UNRESPONSIVE_OBJECTIVES = 2;
 
     private final RunContext context;
     private final Exchange exchange;
     private final RouteRule route;
     private final String service;
     private final RunLog log;
-    private final ReservationDesk desk;
+    private final BookingManager bookings;
     private final ForwardedRequest forwarded;
-    private final CallerDue due;
-    private final HeldMemory held;
+    private final FirstEventDeadline deadline;
+    private final HeldResources held;
     private final StreamRelay relay;
-    private final GenerationLessons lessons;
-    private final GenerationTurns turns;
-    private @Nullable MemoryWait waiting;
-    private @Nullable PromptReading reading;
-    private @Nullable EndpointCall decoding;
+    private final GenerationStatistics statistics;
+    private final GenerationAttempts attempts;
+    private @Nullable GenerationAdmission admission;
+    private @Nullable PrefillRun prefill;
+    private @Nullable EndpointCall decodeCall;
     private @Nullable Subscription deadlineTimer;
-    private final long spentBefore;
+    private final long earlierAttemptsMillis;
     private boolean mayHaveRun;
-    private boolean over;
+    private boolean finished;
 
     GenerationRun(RunContext context, Exchange exchange, RouteRule route, String service, RunLog log) {
         this.context = context;
@@ -48,26 +48,27 @@
         this.route = route;
         this.service = service;
         this.log = log;
-        this.desk = context.desk(service);
-        this.held = new HeldMemory(desk);
-        this.lessons = new GenerationLessons(context, exchange, route, desk, log);
+        this.bookings = context.bookings(service);
+        this.held = new HeldResources(bookings);
+        this.statistics = new GenerationStatistics(context, exchange, route, bookings, log);
         this.relay = new StreamRelay(exchange, log);
-        this.turns = new GenerationTurns(context, route, service);
+        this.attempts = new GenerationAttempts(context, route, service);
         this.forwarded = new ForwardedRequest(exchange, context.protocol(), route);
-        this.spentBefore = context.patience(route.name()).spent(exchange.facts().patienceMillis());
-        this.due = new CallerDue(exchange, route, forwarded, spentBefore);
+        this.earlierAttemptsMillis =
+                context.callerWaits(route.name()).spent(exchange.facts().callerTimeoutMillis());
+        this.deadline = new FirstEventDeadline(exchange, route, forwarded, earlierAttemptsMillis);
     }
 
     void start() {
-        exchange.whenGone(this::callerGone);
-        exchange.whenStopped(this::processStops);
-        exchange.whenWritable(this::callerReads);
-        deadlineTimer = context.after(forwarded.leftMillis(), this::deadlinePassed);
-        takeTurn();
+        exchange.whenGone(this::callerDisconnected);
+        exchange.whenStopped(this::entryStopping);
+        exchange.whenWritable(this::callerWritable);
+        deadlineTimer = context.after(forwarded.remainingMillis(), this::deadlinePassed);
+        startAttempt();
     }
 
-    private void takeTurn() {
-        turns.begun();
+    private void startAttempt() {
+        attempts.recordStarted();
         TokenDemand demand = exchange.facts().demand();
         if (demand == null) {
             decodeUnbooked();
@@ -77,19 +78,20 @@
     }
 
     private void bookMemory(TokenDemand demand) {
-        MemoryWait wait = new MemoryWait(context, service, due, spentBefore, log, new MemoryWait.Outcome() {
-            @Override
-            public void booked(BookedMemory memory) {
-                memoryBooked(memory);
-            }
+        GenerationAdmission wait = new GenerationAdmission(
+                context, service, deadline, earlierAttemptsMillis, log, new GenerationAdmission.Listener() {
+                    @Override
+                    public void booked(BookedMemory memory) {
+                        memoryBooked(memory);
+                    }
 
-            @Override
-            public void refused(String why) {
-                waiting = null;
-                giveUp(why);
-            }
-        });
-        waiting = wait;
+                    @Override
+                    public void refused(String why) {
+                        admission = null;
+                        giveUp(why);
+                    }
+                });
+        admission = wait;
         wait.start(demand);
     }
 
@@ -99,33 +101,33 @@
     }
 
     private void memoryBooked(BookedMemory booked) {
-        waiting = null;
+        admission = null;
         held.booked(booked);
         log.booked(booked.engine(), booked.tokens());
         if (!mayHaveRun && !context.endsInTime(exchange, route)) {
             // Nothing has run so far: the last moment at which a refusal is true.
-            over("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
-            context.refuseLeaving(exchange);
+            finish("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
+            context.refuseDraining(exchange);
             return;
         }
-        lessons.begun();
-        if (booked.readsPrompt()) {
+        statistics.recordBooked();
+        if (booked.prefillsPrompt()) {
             log.step("reads-in-place", booked.engine(), "tokens=" + booked.tokens());
             decodeBooked(booked);
         } else {
-            readPrompt(booked);
+            prefillPrompt(booked);
         }
     }
 
-    private void readPrompt(BookedMemory booked) {
+    private void prefillPrompt(BookedMemory booked) {
         TokenDemand demand = exchange.facts().demand();
         int promptTokens = demand == null ? 0 : demand.prompt();
-        PromptReading prompt = new PromptReading(
-                context, exchange, forwarded, due, service, promptTokens, log, new PromptReading.Outcome() {
+        PrefillRun prompt = new PrefillRun(
+                context, exchange, forwarded, deadline, service, promptTokens, log, new PrefillRun.Listener() {
                     @Override
-                    public void read(Endpoint reader, String handle) {
-                        held.read(new KvCache(reader, handle));
-                        lessons.promptRead();
+                    public void prefilled(Endpoint reader, String handle) {
+                        held.prefilled(new KvCache(reader, handle));
+                        statistics.recordPrefilled();
                         decodeBooked(booked);
                     }
 
@@ -136,10 +138,10 @@
 
                     @Override
                     public void notBegun() {
-                        reading = null;
-                        held.free();
-                        turns.putOff();
-                        takeTurn();
+                        prefill = null;
+                        held.release();
+                        attempts.recordPostponed();
+                        startAttempt();
                     }
 
                     @Override
@@ -147,13 +149,13 @@
                         giveUp(why);
                     }
                 });
-        reading = prompt;
+        prefill = prompt;
         prompt.start(booked.engine());
     }
 
     private void decodeBooked(BookedMemory booked) {
-        reading = null;
-        KvCache kv = held.use();
+        prefill = null;
+        KvCache kv = held.markUsed();
         String source = kv == null
                 ? null
                 : context.protocol().kvSource(kv.holder().member().address(), kv.handle());
@@ -163,27 +165,27 @@
     private void decode(
             Endpoint engine, @Nullable Endpoint reader, @Nullable String kvSource, @Nullable String booking) {
         Forwarding forwarding = new Forwarding(
-                engine.member().id(), forwarded.leftMillis(), false, kvSource, booking, relay.resumePoint());
-        DecodeReply reply = new DecodeReply(context.protocol(), new DecodeOutcome(engine, reader));
-        decoding = engine.send(
+                engine.member().id(), forwarded.remainingMillis(), false, kvSource, booking, relay.resumePoint());
+        DecodeReply reply = new DecodeReply(context.protocol(), new DecodeListener(engine, reader));
+        decodeCall = engine.send(
                 forwarded.head(forwarding), exchange.body(), exchange.facts().id(), reply);
     }
 
-    private final class DecodeOutcome implements DecodeReply.Outcome {
+    private final class DecodeListener implements DecodeReply.Listener {
         private final Endpoint engine;
-        private final @Nullable Endpoint reader;
+        private final @Nullable Endpoint prefillEngine;
 
-        DecodeOutcome(Endpoint engine, @Nullable Endpoint reader) {
+        DecodeListener(Endpoint engine, @Nullable Endpoint reader) {
             this.engine = engine;
-            this.reader = reader;
+            this.prefillEngine = reader;
         }
 
         @Override
         public void begun(HttpResponse head) {
             mayHaveRun = true;
             engine.work().taken();
-            if (reader != null) {
-                reader.caches().taken();
+            if (prefillEngine != null) {
+                prefillEngine.caches().taken();
             }
             if (!exchange.begun()) {
                 exchange.begin(head);
@@ -192,40 +194,40 @@
 
         @Override
         public void piece(ByteBuf piece) {
-            relay.piece(piece, decoding);
+            relay.forward(piece, decodeCall);
         }
 
         @Override
         public void streamEnded() {
-            if (relay.events().brokenOff()) {
+            if (relay.events().hasIncompleteEvent()) {
                 failed(new CallFailure(CallFailure.Kind.MALFORMED, "the stream ends within an event"));
                 return;
             }
-            turns.ran();
+            attempts.recordRun();
             engine.health().succeeded(context.now(), engine.health().millis());
-            lessons.answered(relay.events().events());
-            over("answered", HttpResponseStatus.OK.code());
+            statistics.recordAnswered(relay.events().eventCount());
+            finish("answered", HttpResponseStatus.OK.code());
             exchange.end();
         }
 
         @Override
         public void answered(HttpResponse head, ByteBuf body) {
-            held.free();
+            held.release();
             if (context.protocol().facts(head).notRun()) {
-                noteTurnedAway(engine, reader);
+                recordRefusal(engine, prefillEngine);
             }
-            answeredWhole(engine, head, body);
+            handleCompleteReply(engine, head, body);
         }
 
         @Override
         public void failed(CallFailure failure) {
-            held.free();
+            held.release();
             decodeFailed(engine, failure);
         }
     }
 
     /** Either the engine takes nothing just now, or it couldn't have the KV cache from its reader. */
-    private void noteTurnedAway(Endpoint engine, @Nullable Endpoint reader) {
+    private void recordRefusal(Endpoint engine, @Nullable Endpoint reader) {
         long now = context.now();
         engine.work().turnedAway(now);
         if (reader != null) {
@@ -233,24 +235,24 @@
         }
     }
 
-    private void answeredWhole(Endpoint engine, HttpResponse head, ByteBuf body) {
+    private void handleCompleteReply(Endpoint engine, HttpResponse head, ByteBuf body) {
         ReplyFacts facts = context.protocol().facts(head);
         int status = head.status().code();
         if (facts.notRun()) {
             body.release();
-            log.rejected(engine, status, context.budget(service));
-            turnAgain("the engine turned it away");
+            log.rejected(engine, status, context.describeBudget(service));
+            retryNotRun("the engine turned it away");
             return;
         }
-        turns.ran();
+        attempts.recordRun();
         mayHaveRun = true;
         engine.health().failed(context.now());
         if (exchange.begun() || !facts.signed()) {
             body.release();
-            goOnElsewhere(engine, "status " + status);
+            resumeElsewhere(engine, "status " + status);
             return;
         }
-        over("answered", status);
+        finish("answered", status);
         exchange.answer(head, body);
     }
 
@@ -258,43 +260,43 @@
         engine.health().failed(context.now());
         log.callFailed("decode", engine, failure);
         if (failure.nothingSent()) {
-            turnAgain("the engine can't be reached");
+            retryNotRun("the engine can't be reached");
             return;
         }
-        turns.ran();
+        attempts.recordRun();
         mayHaveRun = true;
-        goOnElsewhere(engine, failure.kind().toString());
+        resumeElsewhere(engine, failure.kind().toString());
     }
 
     /** The engine has not run it: it may be booked, read and sent again. */
-    private void turnAgain(String why) {
-        if (turns.again()) {
-            lessons.inVain();
-            takeTurn();
+    private void retryNotRun(String why) {
+        if (attempts.acquireRetry()) {
+            statistics.recordWastedPrefill();
+            startAttempt();
         } else {
             giveUp(why);
         }
     }
 
     /** The engine may have run it: it may go on only where its route says so. */
-    private void goOnElsewhere(Endpoint engine, String why) {
-        relay.events().restart();
-        AnotherTry next = turns.goOn();
-        if (next == AnotherTry.ALLOWED) {
+    private void resumeElsewhere(Endpoint engine, String why) {
+        relay.events().discardIncompleteEvent();
+        RetryDecision next = attempts.acquireResume();
+        if (next == RetryDecision.ALLOWED) {
             log.step(
                     "resume",
                     engine,
-                    "after=" + relay.events().lastId() + " why=\"" + why + "\" " + context.budget(service));
-            lessons.inVain();
-            takeTurn();
+                    "after=" + relay.events().lastId() + " why=\"" + why + "\" " + context.describeBudget(service));
+            statistics.recordWastedPrefill();
+            startAttempt();
         } else {
-            unknown(why, next);
+            endWithUnknownOutcome(why, next);
         }
     }
 
-    private void unknown(String why, AnotherTry denied) {
-        log.triesEnd(why, denied, context.budget(service));
-        over("broken-off", HttpResponseStatus.BAD_GATEWAY.code());
+    private void endWithUnknownOutcome(String why, RetryDecision denied) {
+        log.attemptsEnded(why, denied, context.describeBudget(service));
+        finish("broken-off", HttpResponseStatus.BAD_GATEWAY.code());
         if (exchange.begun()) {
             exchange.cut(why);
         } else {
@@ -304,28 +306,28 @@
 
     /** No engine takes it now: a refusal if it has run nowhere. */
     private void giveUp(String why) {
-        if (over) {
+        if (finished) {
             return;
         }
         if (mayHaveRun) {
-            unknown(why, AnotherTry.TRIES_USED_UP);
+            endWithUnknownOutcome(why, RetryDecision.TRIES_USED_UP);
             return;
         }
-        over("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
-        context.refuse(exchange, why, desk.comeBackMillis((double) route.targetMillis()));
+        finish("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
+        context.refuse(exchange, why, bookings.retryAfterMillis((double) route.targetMillis()));
     }
 
-    private void callerReads() {
-        EndpointCall running = decoding;
+    private void callerWritable() {
+        EndpointCall running = decodeCall;
         if (running != null) {
             running.reading(true);
         }
     }
 
     /** An engine that has let its caller wait for twice the objective without a first event counts as failing. */
-    private void noteSilence(@Nullable EndpointCall running) {
+    private void recordMissingFirstEvent(@Nullable EndpointCall running) {
         BookedMemory booked = held.memory();
-        boolean overdue = exchange.ageMillis() > SILENT_TARGETS * route.targetMillis();
+        boolean overdue = exchange.ageMillis() > UNRESPONSIVE_OBJECTIVES * route.targetMillis();
         if (running != null
                 && running.active()
                 && booked != null
@@ -336,23 +338,23 @@
     }
 
     private void deadlinePassed() {
-        noteSilence(decoding);
+        recordMissingFirstEvent(decodeCall);
         endUnfinished("timed-out", HttpResponseStatus.GATEWAY_TIMEOUT, "no answer in time");
     }
 
-    private void processStops() {
+    private void entryStopping() {
         endUnfinished("stopped", HttpResponseStatus.BAD_GATEWAY, "this entry stops");
     }
 
     private void endUnfinished(String outcome, HttpResponseStatus status, String why) {
-        EndpointCall running = decoding;
+        EndpointCall running = decodeCall;
         boolean sent = mayHaveRun || (running != null && running.active() && running.sent());
-        stopWork();
+        cancelWork();
         if (!sent) {
             giveUp(why);
             return;
         }
-        over(outcome, status.code());
+        finish(outcome, status.code());
         if (exchange.begun()) {
             exchange.cut(why);
         } else {
@@ -360,43 +362,43 @@
         }
     }
 
-    private void callerGone() {
-        noteSilence(decoding);
-        stopWork();
-        over("caller-gone", 0);
+    private void callerDisconnected() {
+        recordMissingFirstEvent(decodeCall);
+        cancelWork();
+        finish("caller-gone", 0);
     }
 
     /** Ends what runs, waits or is held for this request anywhere. */
-    private void stopWork() {
-        MemoryWait wait = waiting;
+    private void cancelWork() {
+        GenerationAdmission wait = admission;
         if (wait != null) {
             wait.cancel();
-            waiting = null;
+            admission = null;
         }
-        PromptReading prompt = reading;
+        PrefillRun prompt = prefill;
         if (prompt != null) {
             prompt.cancel();
-            reading = null;
+            prefill = null;
         }
-        EndpointCall running = decoding;
+        EndpointCall running = decodeCall;
         if (running != null) {
             running.cancel();
         }
-        held.free();
+        held.release();
     }
 
-    private void over(String outcome, int status) {
-        if (over) {
+    private void finish(String outcome, int status) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         Subscription timer = deadlineTimer;
         if (timer != null) {
             timer.cancel();
         }
-        held.free();
-        lessons.inVain();
-        lessons.streamed(relay.pace(), spentBefore);
-        log.ended(outcome, status, turns.taken());
+        held.release();
+        statistics.recordWastedPrefill();
+        statistics.recordStreamPace(relay.pace(), earlierAttemptsMillis);
+        log.ended(outcome, status, attempts.count());
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/HeldMemory.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/HeldResources.java
@@ -3,14 +3,14 @@
 import org.jspecify.annotations.Nullable;
 
 /** What engines hold for one generation, and what of it must be given back when the generation ends. Not thread-safe. */
-final class HeldMemory {
-    private final ReservationDesk desk;
+final class HeldResources {
+    private final BookingManager bookings;
     private @Nullable BookedMemory memory;
     private @Nullable String unusedBooking;
     private @Nullable KvCache unusedKv;
 
-    HeldMemory(ReservationDesk desk) {
-        this.desk = desk;
+    HeldResources(BookingManager desk) {
+        this.bookings = desk;
     }
 
     /** Notes a booking, not used yet. */
@@ -20,7 +20,7 @@
     }
 
     /** Notes a prompt's KV cache, not used yet. */
-    void read(KvCache kv) {
+    void prefilled(KvCache kv) {
         unusedKv = kv;
     }
 
@@ -32,7 +32,7 @@
 
     /** Notes that booking and KV cache go to the engine with the request. Returns the KV cache, if there is one. */
     @Nullable
-    KvCache use() {
+    KvCache markUsed() {
         KvCache kv = unusedKv;
         unusedKv = null;
         unusedBooking = null;
@@ -40,18 +40,18 @@
     }
 
     /** Gives back what wasn't used, and notes that the engine has room again. */
-    void free() {
+    void release() {
         BookedMemory booked = memory;
         String booking = unusedBooking;
         if (booked != null && booking != null) {
-            desk.giveBack(booked.engine(), booking);
+            bookings.release(booked.engine(), booking);
         }
         if (booked != null) {
-            desk.freed(booked.engine(), booked.tokens());
+            bookings.recordFreed(booked.engine(), booked.tokens());
         }
         KvCache kv = unusedKv;
         if (kv != null) {
-            desk.dropKv(kv.holder(), kv.handle());
+            bookings.dropKv(kv.holder(), kv.handle());
         }
         memory = null;
         unusedBooking = null;
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PromptReaders.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -10,21 +10,21 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /** A service's prefill engines as this entry sees them. Used on the event loop only. */
-final class PromptReaders {
+final class PrefillEngines {
     /** How often engines that are gone are forgotten, in milliseconds. */
-    private static final long FORGET_MILLIS = 10_000;
+    private static final long FORGET_INTERVAL_MILLIS = 10_000;
 
     private final RunContext context;
     private final String service;
     private final ReadingPool<Endpoint> pool = new ReadingPool<>();
 
-    PromptReaders(RunContext context, String service) {
+    PrefillEngines(RunContext context, String service) {
         this.context = context;
         this.service = service;
-        context.timers().every(FORGET_MILLIS, this::forgetGone);
+        context.timers().every(FORGET_INTERVAL_MILLIS, this::forgetRemoved);
     }
 
-    private void forgetGone() {
+    private void forgetRemoved() {
         pool.forget(engine -> !context.directory().usable(engine));
     }
 
@@ -34,7 +34,7 @@
     }
 
     private List<Endpoint> usable() {
-        return LeftOut.without(context.directory().usable(service, Stage.PREFILL), context.now());
+        return EngineExclusion.withoutExcluded(context.directory().usable(service, Stage.PREFILL), context.now());
     }
 
     /** Returns the engine that is predicted to have read a prompt first, one in the zone among equals. */
@@ -63,12 +63,12 @@
     }
 
     /** Returns whether a prompt's first event is predicted to miss the objective. */
-    boolean late(Endpoint engine, int tokens, ReadingPool.Due due) {
+    boolean missesObjective(Endpoint engine, int tokens, ReadingPool.Due due) {
         return firstEventMillis(engine, tokens) > due.inTimeMillis();
     }
 
     /** Returns the inputs of a verdict on a prompt, for the log. */
-    String inputs(Endpoint engine, int tokens, ReadingPool.Due due) {
+    String describeInputs(Endpoint engine, int tokens, ReadingPool.Due due) {
         long now = context.now();
         return String.format(
                 "predicted_ms=%.0f queue_ms=%.0f in_time_ms=%.0f left_ms=%.0f tokens=%d share_left=%.0f",
@@ -86,7 +86,7 @@
     }
 
     /** Notes when a generation's prompt was read, 0 for one that no engine here has read, and when its first event came. */
-    void firstEvent(long readAtMillis, long firstEventMillis) {
+    void recordFirstEvent(long readAtMillis, long firstEventMillis) {
         if (readAtMillis > 0 && firstEventMillis > readAtMillis) {
             pool.firstEvent((double) (firstEventMillis - readAtMillis));
         }
@@ -97,13 +97,13 @@
     }
 
     /** Returns whether a reading is to be begun elsewhere. */
-    boolean lost(ReadingPool<Endpoint>.Reading reading, Endpoint engine) {
+    boolean isLost(ReadingPool<Endpoint>.Reading reading, Endpoint engine) {
         boolean gone = !engine.member().leaving() && !context.directory().usable(engine);
         return reading.lost(usable(), gone, context.now());
     }
 
     /** Returns when the shortest backlog lets in more, in milliseconds; 0 where nothing reads. */
-    double comeBackMillis(double objectiveMillis) {
+    double retryAfterMillis(double objectiveMillis) {
         long now = context.now();
         return usable().stream()
                 .mapToDouble(engine -> pool.comeBackMillis(engine, objectiveMillis, now))
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ReadingTurn.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
@@ -7,44 +7,44 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /** A generation's wait until its prompt can be read. Used on the event loop only. */
-final class ReadingTurn {
+final class PrefillRequest {
     /** What becomes of the wait. */
-    interface Outcome {
+    interface Listener {
         /** The prompt is worth beginning at the engine; there is none where the decode engine has to read it. */
-        void begin(Optional<Endpoint> reader);
+        void beginPrefill(Optional<Endpoint> reader);
 
         /** The decode engine is to read it between the tokens of its streams, if it has room now. */
-        void beginAt(Endpoint decoder);
+        void beginInPlace(Endpoint decoder);
 
         /** It won't be read in time to be of use. */
         void refused();
     }
 
     private final int promptTokens;
-    private final CallerDue due;
+    private final FirstEventDeadline deadline;
     private final RunLog log;
-    private final Outcome outcome;
-    private ReadingLine<ReadingTurn>.@Nullable Place place;
+    private final Listener listener;
+    private ReadingLine<PrefillRequest>.@Nullable Place queueEntry;
     private boolean triedInPlace;
 
-    ReadingTurn(int promptTokens, CallerDue due, RunLog log, Outcome outcome) {
+    PrefillRequest(int promptTokens, FirstEventDeadline due, RunLog log, Listener outcome) {
         this.promptTokens = promptTokens;
-        this.due = due;
+        this.deadline = due;
         this.log = log;
-        this.outcome = outcome;
+        this.listener = outcome;
     }
 
     int promptTokens() {
         return promptTokens;
     }
 
-    ReadingPool.Due due() {
-        return due.now();
+    ReadingPool.Due remaining() {
+        return deadline.remaining();
     }
 
     /** Returns the longest pause that its caller, and so others of its kind, are promised, in milliseconds. */
-    double pauseMillis() {
-        return due.pauseMillis();
+    double maxPauseMillis() {
+        return deadline.maxPauseMillis();
     }
 
     /** Returns whether it has been sent to a decode engine once: one that had no room then is as full for others. */
@@ -53,31 +53,31 @@
     }
 
     /** Returns its place among those who wait, or the last one it had. */
-    ReadingLine<ReadingTurn>.@Nullable Place place() {
-        return place;
+    ReadingLine<PrefillRequest>.@Nullable Place queueEntry() {
+        return queueEntry;
     }
 
     /** Notes its place among those who wait. */
-    void place(ReadingLine<ReadingTurn>.Place taken) {
-        place = taken;
+    void queueEntry(ReadingLine<PrefillRequest>.Place taken) {
+        queueEntry = taken;
     }
 
     /** Notes why it has to wait. */
-    void waits(Endpoint reader, ReadingPool.Verdict verdict, String inputs) {
-        log.promptWaits(reader, verdict, inputs);
+    void logQueued(Endpoint reader, ReadingPool.Verdict verdict, String inputs) {
+        log.prefillQueued(reader, verdict, inputs);
     }
 
-    void begin(Optional<Endpoint> reader) {
-        outcome.begin(reader);
+    void beginPrefill(Optional<Endpoint> reader) {
+        listener.beginPrefill(reader);
     }
 
-    void beginAt(Endpoint decoder) {
+    void beginInPlace(Endpoint decoder) {
         triedInPlace = true;
-        outcome.beginAt(decoder);
+        listener.beginInPlace(decoder);
     }
 
     void refuse(Endpoint reader, ReadingPool.Verdict verdict, String inputs) {
-        log.promptNotBegun(reader, verdict, inputs);
-        outcome.refused();
+        log.prefillNotBegun(reader, verdict, inputs);
+        listener.refused();
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
@@ -24,13 +24,13 @@
 public final class RequestRouter {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** When to come back to an entry that doesn't know its routes yet: about its time to start, in milliseconds. */
-    private static final long STARTING_MILLIS = 500;
+    private static final long STARTING_RETRY_AFTER_MILLIS = 500;
     /** When to come back to an entry that can't know whether a route exists: it asks the store some times a second. */
-    private static final long IN_DOUBT_MILLIS = 500;
+    private static final long IN_DOUBT_RETRY_AFTER_MILLIS = 500;
 
     private final RunContext context;
-    private final WaitingRequests early;
-    private final WaitingRequests inDoubt;
+    private final WaitingRequests earlyRequests;
+    private final WaitingRequests requestsInDoubt;
     private @Nullable RouteTable routes;
     private @Nullable KindFreshness knowledge;
 
@@ -38,8 +38,8 @@
     public RequestRouter(
             Timers timers, Protocol protocol, Directory directory, EntrySettings settings, GatewayMetrics metrics) {
         this.context = new RunContext(timers, protocol, directory, settings, metrics);
-        this.early = new WaitingRequests(context, this::refuseEarly);
-        this.inDoubt = new WaitingRequests(context, this::refuseInDoubt);
+        this.earlyRequests = new WaitingRequests(context, this::refuseEarly);
+        this.requestsInDoubt = new WaitingRequests(context, this::refuseInDoubt);
     }
 
     /** Takes a version of the desired state, unless it is older than the one in force. */
@@ -52,7 +52,7 @@
         routes = table;
         context.services(table.services());
         logger.atInfo().log("event=desired-state version=%d routes=%d", table.version(), table.routes());
-        routeEarly();
+        routeEarlyRequests();
     }
 
     /** Takes what tells how well the desired state is known. */
@@ -88,10 +88,10 @@
     }
 
     /** From now on takes only what can end in the rest of the grace period. */
-    public void leave(GracePeriod period) {
-        context.leave(period);
-        early.refuseAll();
-        inDoubt.refuseAll();
+    public void startDraining(GracePeriod period) {
+        context.startDraining(period);
+        earlyRequests.refuseAll();
+        requestsInDoubt.refuseAll();
     }
 
     /** Answers a request. */
@@ -100,48 +100,48 @@
         if (table == null || !context.directory().known()) {
             // A process that has just started is asked before it has heard from the store; its callers needn't come
             // back for that.
-            early.add(exchange);
+            earlyRequests.add(exchange);
             return;
         }
         String host = exchange.request().headers().get(HttpHeaderNames.HOST, "");
         Optional<RouteRule> found = table.find(host, exchange.request().uri());
         if (found.isEmpty()) {
-            noRoute(exchange, host, table.version());
+            handleMissingRoute(exchange, host, table.version());
             return;
         }
         start(exchange, found.get(), table.version());
     }
 
     /** A route may have been added since the store was last heard of, so only who knows the newest state denies one. */
-    private void noRoute(Exchange exchange, String host, long version) {
+    private void handleMissingRoute(Exchange exchange, String host, long version) {
         KindFreshness told = knowledge;
         if (told != null && !told.current()) {
-            inDoubt.add(exchange);
-            told.refresh(() -> decideDoubts(told.current()));
+            requestsInDoubt.add(exchange);
+            told.refresh(() -> resolveDoubts(told.current()));
             return;
         }
         logger.atInfo().log(
                 "event=no-route request=%s host=%s version=%d %s",
-                exchange.facts().id(), host, version, knowledgeInputs());
+                exchange.facts().id(), host, version, describeKnowledge());
         context.fail(exchange, HttpResponseStatus.NOT_FOUND, "no route");
     }
 
-    private void decideDoubts(boolean known) {
+    private void resolveDoubts(boolean known) {
         if (known) {
-            inDoubt.takeAll().forEach(this::route);
+            requestsInDoubt.removeAll().forEach(this::route);
         } else {
-            inDoubt.refuseAll();
+            requestsInDoubt.refuseAll();
         }
     }
 
     private void refuseInDoubt(Exchange exchange) {
         logger.atInfo().log(
                 "event=route-in-doubt request=%s version=%d %s",
-                exchange.facts().id(), version(), knowledgeInputs());
-        context.refuse(exchange, "it can't be known now whether there is such a route", IN_DOUBT_MILLIS);
+                exchange.facts().id(), version(), describeKnowledge());
+        context.refuse(exchange, "it can't be known now whether there is such a route", IN_DOUBT_RETRY_AFTER_MILLIS);
     }
 
-    private String knowledgeInputs() {
+    private String describeKnowledge() {
         KindFreshness told = knowledge;
         return told == null
                 ? "word_age_ms=0"
@@ -155,19 +155,19 @@
 
     private void refuseEarly(Exchange exchange) {
         logger.atInfo().log("event=refused-early request=%s", exchange.facts().id());
-        context.refuse(exchange, "not ready yet", STARTING_MILLIS);
+        context.refuse(exchange, "not ready yet", STARTING_RETRY_AFTER_MILLIS);
     }
 
     /** Routes the requests that came before the routes and the endpoints were known. Call it when either has been learnt. */
-    public void routeEarly() {
+    public void routeEarlyRequests() {
         if (ready()) {
-            early.takeAll().forEach(this::route);
+            earlyRequests.removeAll().forEach(this::route);
         }
     }
 
     private void start(Exchange exchange, RouteRule route, long version) {
         if (!context.endsInTime(exchange, route)) {
-            context.refuseLeaving(exchange);
+            context.refuseDraining(exchange);
             return;
         }
         String service = route.serviceFor(ThreadLocalRandom.current().nextDouble());
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/AnotherTry.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RetryDecision.java
@@ -1,7 +1,7 @@
 package org.quetzalseam.gateway.route;
 
 /** Whether a request that may have run can be sent again, and if not, what forbids it. */
-enum AnotherTry {
+enum RetryDecision {
     ALLOWED,
     /** Its route doesn't say that it may run twice, or be resumed. */
     NOT_IDEMPOTENT,
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -48,9 +48,9 @@
     private @Nullable GracePeriod grace;
     private List<ServiceRule> services = List.of();
     private final Map<String, RetryAllowance> retries = new HashMap<>();
-    private final Map<String, CallerPatience> patience = new HashMap<>();
+    private final Map<String, CallerPatience> callerWaits = new HashMap<>();
     private final Map<String, AnswerTime> answerTimes = new HashMap<>();
-    private final Map<String, ReservationDesk> desks = new HashMap<>();
+    private final Map<String, BookingManager> bookings = new HashMap<>();
 
     RunContext(Timers timers, Protocol protocol, Directory directory, EntrySettings settings, GatewayMetrics metrics) {
         this.timers = timers;
@@ -97,30 +97,30 @@
     }
 
     /** Takes one retry from this entry's share of the budget. Returns false when none is left. */
-    boolean takeRetry(String service) {
-        return takeRetries(service, 1);
+    boolean acquireRetry(String service) {
+        return acquireRetries(service, 1);
     }
 
     /**
      * Takes what another turn of a generation costs: one retry for its run, and one for the reading of its prompt, as only the
      * first reading of a request is free. Returns false when the budget has less.
      */
-    boolean takeTurn(String service) {
-        return takeRetries(service, arrivalsOfATurn(service));
+    boolean acquireAttempt(String service) {
+        return acquireRetries(service, arrivalsPerAttempt(service));
     }
 
-    private int arrivalsOfATurn(String service) {
+    private int arrivalsPerAttempt(String service) {
         return directory.usable(service, Stage.PREFILL).isEmpty() ? 1 : 2;
     }
 
-    private boolean takeRetries(String service, int count) {
+    private boolean acquireRetries(String service, int count) {
         boolean allowed = retries(service).retries(now(), count);
         metrics.retry(service, allowed);
         return allowed;
     }
 
     /** Returns the inputs of a decision on a retry at a service, for the log. */
-    String budget(String service) {
+    String describeBudget(String service) {
         RetryAllowance.Inputs inputs = retries(service).inputs(now());
         EntryCount counted = entries;
         return String.format(
@@ -135,29 +135,29 @@
     }
 
     /** Decides whether a request that has run so often may be sent again, and takes the retry if so. */
-    AnotherTry anotherTry(RouteRule route, String service, int runs) {
-        return anotherTry(route, service, runs, 1);
+    RetryDecision decideRetry(RouteRule route, String service, int runs) {
+        return decideRetry(route, service, runs, 1);
     }
 
     /** The same for a generation, which takes another turn from booking to decoding. */
-    AnotherTry anotherTurn(RouteRule route, String service, int runs) {
-        return anotherTry(route, service, runs, arrivalsOfATurn(service));
+    RetryDecision decideAttempt(RouteRule route, String service, int runs) {
+        return decideRetry(route, service, runs, arrivalsPerAttempt(service));
     }
 
-    private AnotherTry anotherTry(RouteRule route, String service, int runs, int arrivals) {
+    private RetryDecision decideRetry(RouteRule route, String service, int runs, int arrivals) {
         if (!route.mayRepeat()) {
-            return AnotherTry.NOT_IDEMPOTENT;
+            return RetryDecision.NOT_IDEMPOTENT;
         }
         if (runs >= route.maxAttempts()) {
-            return AnotherTry.TRIES_USED_UP;
+            return RetryDecision.TRIES_USED_UP;
         }
-        return takeRetries(service, arrivals) ? AnotherTry.ALLOWED : AnotherTry.BUDGET_SPENT;
+        return acquireRetries(service, arrivals) ? RetryDecision.ALLOWED : RetryDecision.BUDGET_SPENT;
     }
 
     void entries(EntryCount counted) {
         entries = counted;
         retries.values().forEach(allowance -> allowance.entries(counted.entries()));
-        desks.values().forEach(desk -> desk.entries(counted));
+        bookings.values().forEach(desk -> desk.entries(counted));
         shareConnections();
     }
 
@@ -192,18 +192,18 @@
         return TimeUnit.MILLISECONDS.toNanos(settings.retryWindowMillis());
     }
 
-    CallerPatience patience(String route) {
-        return patience.computeIfAbsent(route, name -> new CallerPatience());
+    CallerPatience callerWaits(String route) {
+        return callerWaits.computeIfAbsent(route, name -> new CallerPatience());
     }
 
     /** Notes that the process has been told to stop. Being told again doesn't put the end off. */
-    void leave(GracePeriod period) {
+    void startDraining(GracePeriod period) {
         if (grace == null) {
             grace = period;
         }
     }
 
-    boolean leaving() {
+    boolean draining() {
         return grace != null;
     }
 
@@ -216,7 +216,7 @@
         if (period == null) {
             return true;
         }
-        long limit = new ForwardedRequest(exchange, protocol, route).leftMillis();
+        long limit = new ForwardedRequest(exchange, protocol, route).remainingMillis();
         long usual = answerTime(route).boundMillis(exchange.facts().estimate(), period.certainty(now()));
         long bound = Math.min(limit, usual);
         if (period.take(now(), bound)) {
@@ -233,12 +233,12 @@
         return answerTimes.computeIfAbsent(route.name(), name -> new AnswerTime());
     }
 
-    ReservationDesk desk(String service) {
-        return desks.computeIfAbsent(service, this::newDesk);
+    BookingManager bookings(String service) {
+        return bookings.computeIfAbsent(service, this::newBookingManager);
     }
 
-    private ReservationDesk newDesk(String service) {
-        ReservationDesk desk = new ReservationDesk(this, service);
+    private BookingManager newBookingManager(String service) {
+        BookingManager desk = new BookingManager(this, service);
         EntryCount counted = entries;
         if (counted != null) {
             desk.entries(counted);
@@ -247,25 +247,28 @@
     }
 
     /** Refuses a request because this entry stops before it would end. */
-    void refuseLeaving(Exchange exchange) {
+    void refuseDraining(Exchange exchange) {
         GracePeriod period = Objects.requireNonNull(grace, "not leaving");
-        refusal(exchange, STOPS_SOONER, period.comeBackMillis(now(), draw()));
+        answerRefused(exchange, STOPS_SOONER, period.comeBackMillis(now(), random()));
     }
 
     /** Refuses a request that has not run and won't, and says when to come back. */
     void refuse(Exchange exchange, String why, long comeBackMillis) {
         GracePeriod period = grace;
-        refusal(exchange, why, period == null ? comeBackMillis : period.comeBackMillis(now(), draw(), comeBackMillis));
+        answerRefused(
+                exchange,
+                why,
+                period == null ? comeBackMillis : period.comeBackMillis(now(), random(), comeBackMillis));
     }
 
-    private static double draw() {
+    private static double random() {
         return ThreadLocalRandom.current().nextDouble();
     }
 
-    private void refusal(Exchange exchange, String why, long comeBack) {
+    private void answerRefused(Exchange exchange, String why, long comeBack) {
         metrics.refused(why);
         HttpHeaders headers = new DefaultHttpHeaders();
-        protocol.comeBackAfter(headers, comeBack);
+        protocol.setRetryAfter(headers, comeBack);
         exchange.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, why, headers);
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
@@ -35,7 +35,7 @@
         step("booked", engine, "tokens=" + tokens);
     }
 
-    void notBooked(Reservation wanted, int engines, long spentBefore, String why) {
+    void notBooked(BookingRequest wanted, int engines, long spentBefore, String why) {
         logger.atInfo().log(
                 "event=booking-refused request=%s service=%s why=\"%s\" tokens=%d room=%d engines=%d asked=%d"
                         + " spent_before_ms=%d age_ms=%d",
@@ -45,7 +45,7 @@
                 wanted.tokens(),
                 wanted.room(),
                 engines,
-                wanted.asks(),
+                wanted.inquiries(),
                 spentBefore,
                 exchange.ageMillis());
     }
@@ -63,13 +63,13 @@
     }
 
     /** Tells why a request that may have run isn't sent again. */
-    void triesEnd(String why, AnotherTry denied, String budget) {
+    void attemptsEnded(String why, RetryDecision denied, String budget) {
         logger.atInfo().log(
                 "event=tries-end request=%s why=\"%s\" denied=%s age_ms=%d %s",
                 exchange.facts().id(), why, denied, exchange.ageMillis(), budget);
     }
 
-    void readInVain(int tokens) {
+    void prefillWasted(int tokens) {
         metrics.promptInVain(service, tokens);
         logger.atInfo().log(
                 "event=prompt-in-vain request=%s tokens=%d age_ms=%d",
@@ -84,12 +84,12 @@
     }
 
     /** Notes that a prompt isn't begun yet, and why. */
-    void promptWaits(Endpoint engine, ReadingPool.Verdict verdict, String inputs) {
+    void prefillQueued(Endpoint engine, ReadingPool.Verdict verdict, String inputs) {
         step("prompt-waits", engine, "verdict=" + verdict + " " + inputs);
     }
 
     /** Notes that a prompt isn't begun, and why. */
-    void promptNotBegun(Endpoint engine, ReadingPool.Verdict verdict, String inputs) {
+    void prefillNotBegun(Endpoint engine, ReadingPool.Verdict verdict, String inputs) {
         step("prompt-not-begun", engine, "verdict=" + verdict + " " + inputs);
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
@@ -34,11 +34,11 @@
     /** Endpoints that may turn a request away before the caller is told that the service is full. */
     private static final int MAX_REJECTIONS = 3;
     /** Connections that may fail to open before the caller is told. */
-    private static final int MAX_UNREACHED = 3;
+    private static final int MAX_CONNECT_FAILURES = 3;
     /** When to come back to a service that is full: a few times its usual time to answer, in milliseconds. */
-    private static final long FULL_MILLIS = 300;
+    private static final long FULL_RETRY_AFTER_MILLIS = 300;
     /** Part of the time left that the first of several tries may use. */
-    private static final double TRY_SHARE = 0.5;
+    private static final double FIRST_ATTEMPT_SHARE = 0.5;
 
     private final RunContext context;
     private final Exchange exchange;
@@ -46,14 +46,14 @@
     private final String service;
     private final RunLog log;
     private final ForwardedRequest forwarded;
-    private final Set<Endpoint> tried = new HashSet<>();
+    private final Set<Endpoint> triedEndpoints = new HashSet<>();
     private @Nullable EndpointCall call;
-    private @Nullable Endpoint asked;
-    private @Nullable Subscription tryTimer;
+    private @Nullable Endpoint currentEndpoint;
+    private @Nullable Subscription attemptTimer;
     private @Nullable Subscription deadlineTimer;
     private int runs;
     private int rejections;
-    private int unreached;
+    private int connectFailures;
     private boolean mayHaveRun;
 
     ServiceRun(RunContext context, Exchange exchange, RouteRule route, String service, RunLog log) {
@@ -66,16 +66,16 @@
     }
 
     void start() {
-        exchange.whenGone(this::callerGone);
-        exchange.whenStopped(this::processStops);
-        deadlineTimer = context.after(forwarded.leftMillis(), this::deadlinePassed);
+        exchange.whenGone(this::callerDisconnected);
+        exchange.whenStopped(this::entryStopping);
+        deadlineTimer = context.after(forwarded.remainingMillis(), this::deadlinePassed);
         sendToNext();
     }
 
     private Optional<Endpoint> choose() {
         long now = context.now();
         List<Endpoint> usable = context.directory().usable(service, Stage.WHOLE);
-        Comparator<Endpoint> order = Comparator.<Endpoint, Boolean>comparing(tried::contains)
+        Comparator<Endpoint> order = Comparator.<Endpoint, Boolean>comparing(triedEndpoints::contains)
                 .thenComparing(endpoint -> endpoint.health().suspect(now))
                 .thenComparingDouble(ServiceRun::expectedMillis)
                 .thenComparing(endpoint ->
@@ -100,25 +100,26 @@
     }
 
     private void send(Endpoint endpoint) {
-        tried.add(endpoint);
-        asked = endpoint;
-        HttpRequest head = forwarded.head(Forwarding.whole(endpoint.member().id(), forwarded.leftMillis()));
+        triedEndpoints.add(endpoint);
+        currentEndpoint = endpoint;
+        HttpRequest head = forwarded.head(Forwarding.whole(endpoint.member().id(), forwarded.remainingMillis()));
         long sentAt = context.now();
         WholeReply reply = new WholeReply(
                 MAX_ANSWER_BYTES,
                 (answer, body) -> answered(endpoint, answer, body, sentAt),
                 failure -> failed(endpoint, failure));
-        if (mayTryAgain()) {
-            tryTimer = context.after((long) (forwarded.leftMillis() * TRY_SHARE), () -> tryTimedOut(endpoint));
+        if (mayRepeat()) {
+            attemptTimer = context.after(
+                    (long) (forwarded.remainingMillis() * FIRST_ATTEMPT_SHARE), () -> attemptTimedOut(endpoint));
         }
         call = endpoint.send(head, exchange.body(), exchange.facts().id(), reply);
     }
 
-    private boolean mayTryAgain() {
+    private boolean mayRepeat() {
         return route.mayRepeat() && runs + 1 < route.maxAttempts();
     }
 
-    private void tryTimedOut(Endpoint endpoint) {
+    private void attemptTimedOut(Endpoint endpoint) {
         EndpointCall slow = call;
         if (exchange.ended() || slow == null) {
             return;
@@ -127,16 +128,16 @@
         failed(endpoint, new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in this try's share of the time"));
     }
 
-    private void stopTryTimer() {
-        Subscription timer = tryTimer;
+    private void stopAttemptTimer() {
+        Subscription timer = attemptTimer;
         if (timer != null) {
             timer.cancel();
-            tryTimer = null;
+            attemptTimer = null;
         }
     }
 
     private void answered(Endpoint endpoint, HttpResponse answer, ByteBuf body, long sentAt) {
-        stopTryTimer();
+        stopAttemptTimer();
         ReplyFacts facts = context.protocol().facts(answer);
         if (facts.notRun()) {
             body.release();
@@ -148,7 +149,7 @@
         if (!facts.signed()) {
             body.release();
             endpoint.health().failed(context.now());
-            unproved(endpoint, "unsigned answer " + answer.status().code());
+            retryOrReportUnknown(endpoint, "unsigned answer " + answer.status().code());
             return;
         }
         boolean serverFault = answer.status().code() >= 500;
@@ -157,13 +158,13 @@
         } else {
             endpoint.health().succeeded(context.now(), (context.now() - sentAt) / 1e6);
         }
-        if (serverFault && context.anotherTry(route, service, runs) == AnotherTry.ALLOWED) {
+        if (serverFault && context.decideRetry(route, service, runs) == RetryDecision.ALLOWED) {
             body.release();
-            log.step("retry", endpoint, "status=" + answer.status().code() + " " + context.budget(service));
+            log.step("retry", endpoint, "status=" + answer.status().code() + " " + context.describeBudget(service));
             sendToNext();
             return;
         }
-        over("answered", answer.status().code());
+        finish("answered", answer.status().code());
         if (!serverFault) {
             // A failure may come sooner than the answer that it stands for.
             context.answerTime(route).ended(exchange.facts().estimate(), exchange.ageMillis());
@@ -173,28 +174,28 @@
 
     private void rejected(Endpoint endpoint, int status) {
         rejections++;
-        log.rejected(endpoint, status, context.budget(service));
-        if (rejections < MAX_REJECTIONS && takeRetry()) {
+        log.rejected(endpoint, status, context.describeBudget(service));
+        if (rejections < MAX_REJECTIONS && acquireRetry()) {
             sendToNext();
         } else {
             giveUp("the service is full");
         }
     }
 
-    private boolean takeRetry() {
-        return context.takeRetry(service);
+    private boolean acquireRetry() {
+        return context.acquireRetry(service);
     }
 
     private void failed(Endpoint endpoint, CallFailure failure) {
-        stopTryTimer();
+        stopAttemptTimer();
         if (exchange.ended()) {
             return;
         }
         endpoint.health().failed(context.now());
         log.callFailed("run", endpoint, failure);
         if (failure.nothingSent()) {
-            unreached++;
-            if (unreached < MAX_UNREACHED) {
+            connectFailures++;
+            if (connectFailures < MAX_CONNECT_FAILURES) {
                 sendToNext();
             } else {
                 giveUp("no endpoint can be reached");
@@ -203,37 +204,37 @@
         }
         runs++;
         mayHaveRun = true;
-        unproved(endpoint, "reply lost: " + failure.kind());
+        retryOrReportUnknown(endpoint, "reply lost: " + failure.kind());
     }
 
     /** The request may have run, and there is no answer that can be passed on. */
-    private void unproved(Endpoint endpoint, String why) {
-        AnotherTry next = context.anotherTry(route, service, runs);
-        if (next == AnotherTry.ALLOWED) {
-            log.step("retry", endpoint, "why=\"" + why + "\" " + context.budget(service));
+    private void retryOrReportUnknown(Endpoint endpoint, String why) {
+        RetryDecision next = context.decideRetry(route, service, runs);
+        if (next == RetryDecision.ALLOWED) {
+            log.step("retry", endpoint, "why=\"" + why + "\" " + context.describeBudget(service));
             sendToNext();
             return;
         }
-        log.triesEnd(why, next, context.budget(service));
-        over("unknown", HttpResponseStatus.BAD_GATEWAY.code());
+        log.attemptsEnded(why, next, context.describeBudget(service));
+        finish("unknown", HttpResponseStatus.BAD_GATEWAY.code());
         context.fail(exchange, HttpResponseStatus.BAD_GATEWAY, "the endpoint gave no whole answer");
     }
 
     /** No endpoint takes it now: a refusal if it has run nowhere. */
     private void giveUp(String why) {
         if (mayHaveRun) {
-            over("unknown", HttpResponseStatus.BAD_GATEWAY.code());
+            finish("unknown", HttpResponseStatus.BAD_GATEWAY.code());
             context.fail(exchange, HttpResponseStatus.BAD_GATEWAY, why);
             return;
         }
-        over("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
-        context.refuse(exchange, why, FULL_MILLIS);
+        finish("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
+        context.refuse(exchange, why, FULL_RETRY_AFTER_MILLIS);
     }
 
     private void deadlinePassed() {
         EndpointCall running = call;
         boolean sent = mayHaveRun || (running != null && running.sent());
-        Endpoint silent = asked;
+        Endpoint silent = currentEndpoint;
         if (silent != null && running != null && running.active()) {
             silent.health().failed(context.now());
         }
@@ -241,36 +242,36 @@
             running.cancel();
         }
         if (sent) {
-            over("timed-out", HttpResponseStatus.GATEWAY_TIMEOUT.code());
+            finish("timed-out", HttpResponseStatus.GATEWAY_TIMEOUT.code());
             context.fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT, "no answer in time");
         } else {
             giveUp("no endpoint in time");
         }
     }
 
-    private void processStops() {
+    private void entryStopping() {
         EndpointCall running = call;
         if (running != null) {
             running.cancel();
         }
         if (mayHaveRun || (running != null && running.sent())) {
-            over("stopped", HttpResponseStatus.BAD_GATEWAY.code());
+            finish("stopped", HttpResponseStatus.BAD_GATEWAY.code());
             context.fail(exchange, HttpResponseStatus.BAD_GATEWAY, "this entry stops");
         } else {
             giveUp("this entry stops");
         }
     }
 
-    private void callerGone() {
+    private void callerDisconnected() {
         EndpointCall running = call;
         if (running != null) {
             running.cancel();
         }
-        over("caller-gone", 0);
+        finish("caller-gone", 0);
     }
 
-    private void over(String outcome, int status) {
-        stopTryTimer();
+    private void finish(String outcome, int status) {
+        stopAttemptTimer();
         Subscription timer = deadlineTimer;
         if (timer != null) {
             timer.cancel();
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/StreamPace.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/StreamPace.java
@@ -8,7 +8,7 @@
     private long longestPauseMillis;
 
     /** Notes events that came when the request was so old. */
-    void came(long ageMillis) {
+    void record(long ageMillis) {
         if (pieces == 0) {
             firstMillis = ageMillis;
         } else {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/StreamRelay.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/StreamRelay.java
@@ -9,7 +9,7 @@
 final class StreamRelay {
     private final Exchange exchange;
     private final RunLog log;
-    private final EventStream events = new EventStream();
+    private final EventStreamParser events = new EventStreamParser();
     private final StreamPace pace = new StreamPace();
 
     StreamRelay(Exchange exchange, RunLog log) {
@@ -18,7 +18,7 @@
     }
 
     /** Returns the events that have been passed on. */
-    EventStream events() {
+    EventStreamParser events() {
         return events;
     }
 
@@ -35,14 +35,14 @@
     }
 
     /** Takes a piece of the stream that a call brings. */
-    void piece(ByteBuf piece, @Nullable EndpointCall from) {
-        boolean first = events.events() == 0;
-        ByteBuf ready = events.take(piece);
+    void forward(ByteBuf piece, @Nullable EndpointCall from) {
+        boolean first = events.eventCount() == 0;
+        ByteBuf ready = events.append(piece);
         if (!ready.isReadable()) {
             ready.release();
             return;
         }
-        pace.came(exchange.ageMillis());
+        pace.record(exchange.ageMillis());
         if (first) {
             log.firstEvent();
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/WaitingRequests.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/WaitingRequests.java
@@ -8,7 +8,7 @@
 /** Requests that wait briefly for what their routes depend on. Used on the event loop only. */
 final class WaitingRequests {
     /** Longest wait, in milliseconds: several answers of the store. */
-    private static final long WAIT_MILLIS = 800;
+    private static final long MAX_WAIT_MILLIS = 800;
     /** Requests that may wait. */
     private static final int MAX_WAITING = 200;
 
@@ -24,13 +24,13 @@
 
     /** Lets a request wait, unless too many do or the process is leaving. */
     void add(Exchange exchange) {
-        if (waiting.size() >= MAX_WAITING || context.leaving()) {
+        if (waiting.size() >= MAX_WAITING || context.draining()) {
             refuse.accept(exchange);
             return;
         }
         waiting.add(exchange);
         exchange.whenGone(() -> waiting.remove(exchange));
-        context.after(WAIT_MILLIS, () -> {
+        context.after(MAX_WAIT_MILLIS, () -> {
             if (waiting.remove(exchange)) {
                 refuse.accept(exchange);
             }
@@ -38,7 +38,7 @@
     }
 
     /** Takes all out. */
-    List<Exchange> takeAll() {
+    List<Exchange> removeAll() {
         List<Exchange> taken = List.copyOf(waiting);
         waiting.clear();
         return taken;
@@ -46,6 +46,6 @@
 
     /** Refuses all. */
     void refuseAll() {
-        takeAll().forEach(refuse);
+        removeAll().forEach(refuse);
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
@@ -126,7 +126,7 @@
     void endpoints(Member... members) {
         onLoop(() -> {
             process.directory().update(List.of(members));
-            process.router().routeEarly();
+            process.router().routeEarlyRequests();
         });
     }
 
--- a/gateway/src/test/java/org/quetzalseam/gateway/TestProtocol.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/TestProtocol.java
@@ -33,13 +33,13 @@
     }
 
     @Override
-    public void forward(HttpHeaders headers, Forwarding forwarding) {
+    public void rewriteHeaders(HttpHeaders headers, Forwarding forwarding) {
         headers.set("x-endpoint", forwarding.expectedEndpoint());
         if (forwarding.prefillOnly()) {
             headers.set("x-prefill", "1");
         }
         set(headers, "x-kv", forwarding.kvSource());
-        set(headers, "x-booking", forwarding.reservation());
+        set(headers, "x-booking", forwarding.booking());
         set(headers, "x-resume", forwarding.resumeAfter());
     }
 
@@ -56,22 +56,22 @@
     }
 
     @Override
-    public void comeBackAfter(HttpHeaders headers, long millis) {
+    public void setRetryAfter(HttpHeaders headers, long millis) {
         headers.set("x-come-back", millis);
     }
 
     @Override
-    public FullHttpRequest reserve(int tokens, long millis) {
+    public FullHttpRequest bookMemory(int tokens, long millis) {
         return call(HttpMethod.POST, "/control/reserve?tokens=" + tokens);
     }
 
     @Override
-    public Optional<String> reservation(String body) {
+    public Optional<String> bookingId(String body) {
         return body.isEmpty() ? Optional.empty() : Optional.of(body);
     }
 
     @Override
-    public FullHttpRequest release(String reservation) {
+    public FullHttpRequest releaseBooking(String reservation) {
         return call(HttpMethod.DELETE, "/control/release/" + reservation);
     }
 
--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/RestoredCensusTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryRestoreTest.java
@@ -15,7 +15,7 @@
  * The count of entries when names have gone from the store that belong to entries that live. An entry that left its name once
  * never left it again: it counted two where three lived, and its rank was another one's too.
  */
-class RestoredCensusTest {
+class EntryRegistryRestoreTest {
     private static final String KIND = "quetzalseam-entries";
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -24,7 +24,7 @@
 
     private void start(String self) {
         channel.freezeTime();
-        new EntryCensus(new Timers(channel.eventLoop()), store, self, counted::add).start();
+        new EntryRegistry(new Timers(channel.eventLoop()), store, self, counted::add).start();
     }
 
     private void put(String name) {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aNameThatIsYoungerThanTheCopyIsLeftAgain() {
+    void aNameMissingFromARestoredCopyIsRegisteredAgain() {
         put("a");
         put("b");
         MemoryStore.Copy copy = store.copy();
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void othersAreNotTakenForGoneBeforeTheyCouldLeaveTheirNamesAgain() {
+    void otherEntriesCountAsPresentUntilTheyCouldRegisterAgain() {
         put("a");
         MemoryStore.Copy copy = store.copy();
         start("c");
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aNameThatAnOperatorDeletesIsLeftAgain() {
+    void aNameThatAnOperatorDeletesIsRegisteredAgain() {
         put("a");
         start("b");
         passSeconds(20);
--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryCensusTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryTest.java
@@ -11,7 +11,7 @@
 import org.quetzalseam.gateway.runtime.Timers;
 import org.quetzalseam.gateway.store.MemoryStore;
 
-class EntryCensusTest {
+class EntryRegistryTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final List<Integer> counted = new ArrayList<>();
     private final List<Integer> ranks = new ArrayList<>();
@@ -19,7 +19,7 @@
 
     private void start() {
         channel.freezeTime();
-        new EntryCensus(new Timers(channel.eventLoop()), store, "self", count -> {
+        new EntryRegistry(new Timers(channel.eventLoop()), store, "self", count -> {
                     counted.add(count.entries());
                     ranks.add(count.rank());
                 })
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aChangedNumberIsToldOnce() {
+    void aChangedCountIsReportedOnce() {
         others(4);
         start();
         passSeconds(20);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void whileTheStoreDeclinesTheNameIsLeftAgain() {
+    void theNameIsRegisteredAgainWhenTheStoreHasDeclined() {
         store.declining(true);
         start();
         passSeconds(12);
