--- a/cli/src/test/java/org/quetzalseam/cli/LeavingEndpointTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/LeavingEndpointTest.java
@@ -108,7 +108,7 @@
     @Test
     void anEntryWhoseConnectionOpensWhileAnEndpointLeavesHearsItsWordToo() throws Exception {
         EndpointVm service = site.services().get(0);
-        service.daemon().leave();
+        service.daemon().startDraining();
         WordEntry entry = new WordEntry();
         Dialer dialer = new Dialer(
                 "127.0.0.1", service.daemon().port(), self, SiteKey.loopback(), Transport.plain(), timers, entry);
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/ServiceHandler.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/ServiceHandler.java
@@ -99,7 +99,7 @@
     private static Map<String, String> headers(HttpExchange exchange, RequestId id) {
         Map<String, String> headers = new HashMap<>();
         exchange.getRequestHeaders().forEach((name, values) -> {
-            if (HttpServiceClient.passed(name) && !NOT_PASSED.contains(name.toLowerCase(Locale.ROOT))) {
+            if (HttpServiceClient.isForwarded(name) && !NOT_PASSED.contains(name.toLowerCase(Locale.ROOT))) {
                 headers.put(name, String.join(", ", values));
             }
         });
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Admission.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Admission.java
@@ -28,8 +28,8 @@
  */
 final class Admission {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final long MIN_RETRY_MILLIS = 100;
-    private static final double SMOOTHING = 0.1;
+    private static final long MIN_RETRY_AFTER_MILLIS = 100;
+    private static final double SMOOTHING_FACTOR = 0.1;
 
     /**
      * How jobs are admitted. Immutable.
@@ -37,32 +37,33 @@
      * @param queue order of waiting jobs
      * @param shedding whether jobs that would wait too long are refused at once
      * @param countRunning whether running jobs count towards the backlog, as where a place does one job at a time
-     * @param ahead how far places are booked in advance
+     * @param bookingPolicy how far places are booked in advance
      * @param longWindow most long jobs that may hold a place without having started: a place that waits for its prefill
      *     does nothing, and takes room from short work
      */
-    record Rules(WorkQueue queue, boolean shedding, boolean countRunning, BookingPolicy ahead, int longWindow) {}
+    record Rules(
+            WorkQueue queue, boolean shedding, boolean countRunning, BookingPolicy bookingPolicy, int longWindow) {}
 
     private final Rules rules;
     private final SlotLedger ledger;
     private final AttemptTable<Job> table;
-    private final Backend backend;
+    private final JobRunner runner;
     private final Object lock = new Object();
     private final Map<AttemptId, Job> waiting = new HashMap<>();
-    private final Map<AttemptId, Job> placed = new HashMap<>();
+    private final Map<AttemptId, Job> booked = new HashMap<>();
     private final Set<AttemptId> longUnstarted = new HashSet<>();
     private long runningCost;
     private double nanosPerCost;
     private double meanHoldNanos;
     private long leadMillis;
-    private boolean leaving;
-    private volatile long lastTick = System.nanoTime();
+    private boolean draining;
+    private volatile long lastTickNanos = System.nanoTime();
 
-    Admission(Rules rules, SlotLedger ledger, AttemptTable<Job> table, Backend backend) {
+    Admission(Rules rules, SlotLedger ledger, AttemptTable<Job> table, JobRunner backend) {
         this.rules = rules;
         this.ledger = ledger;
         this.table = table;
-        this.backend = backend;
+        this.runner = backend;
     }
 
     AttemptTable<Job> table() {
@@ -82,36 +83,36 @@
         long retryMillis;
         synchronized (lock) {
             leadMillis = lead;
-            retryMillis = retryMillis(job.ticket(), now);
-            refusal = refusal(job.ticket(), queueLength, now);
+            retryMillis = retryAfterMillis(job.queuedAttempt(), now);
+            refusal = refusal(job.queuedAttempt(), queueLength, now);
             if (refusal == null) {
                 if (!table.offer(job.id(), job, now)) {
-                    repeat(job);
+                    answerRepeated(job);
                     return;
                 }
-                rules.queue().add(job.ticket());
+                rules.queue().add(job.queuedAttempt());
                 waiting.put(job.id(), job);
             }
         }
         if (refusal != null) {
-            job.settle(new Refused(job.id(), refusal, retryMillis, load()));
+            job.complete(new Refused(job.id(), refusal, retryMillis, load()));
             return;
         }
-        pump();
+        runBookable();
     }
 
     /** Answers an order that came a second time, or after its attempt was sealed. */
-    private void repeat(Job job) {
+    private void answerRepeated(Job job) {
         Job known = table.work(job.id());
         if (known == null) {
-            job.settle(new Refused(job.id(), RefusalReason.SEALED, MIN_RETRY_MILLIS, load()));
+            job.complete(new Refused(job.id(), RefusalReason.SEALED, MIN_RETRY_AFTER_MILLIS, load()));
         } else {
             known.replay(0, load());
         }
     }
 
     private @Nullable RefusalReason refusal(QueuedAttempt ticket, int queueLength, long now) {
-        if (leaving) {
+        if (draining) {
             return RefusalReason.LEAVING;
         }
         if (rules.queue().waiting(ticket.entry()) >= queueLength) {
@@ -121,9 +122,9 @@
         return rules.shedding() && late ? RefusalReason.WAIT_TOO_LONG : null;
     }
 
-    private long retryMillis(QueuedAttempt ticket, long now) {
+    private long retryAfterMillis(QueuedAttempt ticket, long now) {
         long excess = backlogNanos(ticket) - (ticket.deadlineNanos() - now);
-        return Math.max(MIN_RETRY_MILLIS, excess / NANOS_PER_MILLI);
+        return Math.max(MIN_RETRY_AFTER_MILLIS, excess / NANOS_PER_MILLI);
     }
 
     private long backlogNanos(QueuedAttempt ticket) {
@@ -133,7 +134,7 @@
     /** Returns how long work of a class that arrives now would wait. Short work doesn't wait for long work. */
     private long backlogNanos(WorkClass workClass) {
         long cost = rules.queue().costAhead(workClass);
-        if (cost == 0 && placeable(workClass, extra())) {
+        if (cost == 0 && isBookable(workClass, extraSlots())) {
             return 0;
         }
         boolean waitsForRunning = rules.countRunning() && workClass == WorkClass.LONG;
@@ -141,23 +142,24 @@
         return (long) (nextPlace + (cost + (waitsForRunning ? runningCost : 0)) * nanosPerCost / ledger.capacity());
     }
 
-    private int extra() {
-        return rules.ahead().extraSlots(ledger.capacity(), (long) (meanHoldNanos / NANOS_PER_MILLI), leadMillis);
+    private int extraSlots() {
+        return rules.bookingPolicy()
+                .extraSlots(ledger.capacity(), (long) (meanHoldNanos / NANOS_PER_MILLI), leadMillis);
     }
 
     /** Gives places to waiting jobs for as long as there are any. */
-    private void pump() {
-        Optional<Job> next = place();
+    private void runBookable() {
+        Optional<Job> next = bookNext();
         while (next.isPresent()) {
-            backend.run(next.get());
-            next = place();
+            runner.run(next.get());
+            next = bookNext();
         }
     }
 
-    private Optional<Job> place() {
+    private Optional<Job> bookNext() {
         synchronized (lock) {
-            int extra = extra();
-            Optional<QueuedAttempt> ticket = rules.queue().poll(candidate -> placeable(candidate.workClass(), extra));
+            int extra = extraSlots();
+            Optional<QueuedAttempt> ticket = rules.queue().poll(candidate -> isBookable(candidate.workClass(), extra));
             if (ticket.isEmpty()) {
                 return Optional.empty();
             }
@@ -166,8 +168,8 @@
             if (job == null || !ledger.book(id, ticket.get().workClass(), extra)) {
                 throw new IllegalStateException("attempt " + id + " was polled but can't be placed");
             }
-            job.booked(System.nanoTime());
-            placed.put(id, job);
+            job.setBookedAt(System.nanoTime());
+            booked.put(id, job);
             if (ticket.get().workClass() == WorkClass.LONG) {
                 longUnstarted.add(id);
             }
@@ -176,7 +178,7 @@
         }
     }
 
-    private boolean placeable(WorkClass workClass, int extra) {
+    private boolean isBookable(WorkClass workClass, int extra) {
         boolean inWindow = workClass == WorkClass.SHORT || longUnstarted.size() < rules.longWindow();
         return inWindow && ledger.isAvailable(workClass, extra);
     }
@@ -191,30 +193,30 @@
             opened = longUnstarted.remove(job.id());
         }
         if (opened) {
-            pump();
+            runBookable();
         }
         return true;
     }
 
     /** Takes back the place of a job that has ended in whatever way. Calling it again does no harm. */
-    void ended(Job job) {
+    void finish(Job job) {
         long now = System.nanoTime();
         table.finish(job.id(), now);
         synchronized (lock) {
             if (ledger.release(job.id())) {
-                placed.remove(job.id());
+                booked.remove(job.id());
                 longUnstarted.remove(job.id());
-                runningCost -= job.ticket().cost();
-                learn(job, now - job.bookedAt());
+                runningCost -= job.queuedAttempt().cost();
+                updateEstimates(job, now - job.bookedAtNanos());
             }
         }
-        pump();
+        runBookable();
     }
 
-    private void learn(Job job, long holdNanos) {
-        double perCost = (double) holdNanos / job.ticket().cost();
-        nanosPerCost = nanosPerCost == 0 ? perCost : nanosPerCost + SMOOTHING * (perCost - nanosPerCost);
-        meanHoldNanos = meanHoldNanos == 0 ? holdNanos : meanHoldNanos + SMOOTHING * (holdNanos - meanHoldNanos);
+    private void updateEstimates(Job job, long holdNanos) {
+        double perCost = (double) holdNanos / job.queuedAttempt().cost();
+        nanosPerCost = nanosPerCost == 0 ? perCost : nanosPerCost + SMOOTHING_FACTOR * (perCost - nanosPerCost);
+        meanHoldNanos = meanHoldNanos == 0 ? holdNanos : meanHoldNanos + SMOOTHING_FACTOR * (holdNanos - meanHoldNanos);
     }
 
     /** Seals an attempt: one that has not started gives up its place in the queue or the memory. */
@@ -222,7 +224,7 @@
         SealResult result = table.seal(id, System.nanoTime());
         Job job = table.work(id);
         if (result == SealResult.BEFORE_START && job != null) {
-            giveUp(job, RefusalReason.SEALED);
+            refuseUnstarted(job, RefusalReason.SEALED);
         }
         return result;
     }
@@ -232,27 +234,27 @@
         SealResult result = seal(id);
         Job job = table.work(id);
         if (result == SealResult.STARTED && job != null) {
-            backend.abort(job);
+            runner.abort(job);
         }
     }
 
-    private void giveUp(Job job, RefusalReason reason) {
+    private void refuseUnstarted(Job job, RefusalReason reason) {
         synchronized (lock) {
             rules.queue().remove(job.id());
             waiting.remove(job.id());
         }
-        job.settle(new Refused(job.id(), reason, MIN_RETRY_MILLIS, load()));
-        ended(job);
+        job.complete(new Refused(job.id(), reason, MIN_RETRY_AFTER_MILLIS, load()));
+        finish(job);
     }
 
     /** Ends what has waited too long or lost its lease, and forgets what ended long ago. */
     void tick() {
         long now = System.nanoTime();
-        if (now - lastTick > table.leaseNanos() / 2) {
+        if (now - lastTickNanos > table.leaseNanos() / 2) {
             // The process was paused, and heartbeats wait to be read: what they renew must not lapse before that.
             table.renewAll(now);
         }
-        lastTick = now;
+        lastTickNanos = now;
         List<Job> late = new ArrayList<>();
         synchronized (lock) {
             for (QueuedAttempt ticket : rules.queue().expire(now)) {
@@ -264,30 +266,30 @@
         }
         for (Job job : late) {
             if (table.seal(job.id(), now) == SealResult.BEFORE_START) {
-                giveUp(job, RefusalReason.WAIT_TOO_LONG);
+                refuseUnstarted(job, RefusalReason.WAIT_TOO_LONG);
             }
         }
-        table.expireLeases(now).forEach(this::lapse);
+        table.expireLeases(now).forEach(this::endAfterLease);
         table.purge(now);
-        pump();
+        runBookable();
     }
 
-    private void lapse(Job job) {
-        boolean started = job.bookedAt() != 0;
-        job.settle(new Failed(job.id(), FailureCode.CANCELLED, "the entry's lease ran out", load()));
+    private void endAfterLease(Job job) {
+        boolean started = job.bookedAtNanos() != 0;
+        job.complete(new Failed(job.id(), FailureCode.CANCELLED, "the entry's lease ran out", load()));
         if (started) {
-            backend.abort(job);
+            runner.abort(job);
         } else {
-            giveUp(job, RefusalReason.SEALED);
+            refuseUnstarted(job, RefusalReason.SEALED);
         }
     }
 
     /** Takes no new jobs from now on and hands back those that wait, as not run. */
-    void leave() {
+    void drain() {
         List<QueuedAttempt> unstarted;
         List<Job> jobs = new ArrayList<>();
         synchronized (lock) {
-            leaving = true;
+            draining = true;
             unstarted = rules.queue().drain();
             for (QueuedAttempt ticket : unstarted) {
                 Job job = waiting.remove(ticket.id());
@@ -298,15 +300,15 @@
         }
         for (Job job : jobs) {
             if (table.seal(job.id(), System.nanoTime()) == SealResult.BEFORE_START) {
-                giveUp(job, RefusalReason.LEAVING);
+                refuseUnstarted(job, RefusalReason.LEAVING);
             }
         }
     }
 
     /** Returns how many jobs wait or hold a place. */
-    int live() {
+    int jobCount() {
         synchronized (lock) {
-            return waiting.size() + placed.size();
+            return waiting.size() + booked.size();
         }
     }
 
@@ -320,7 +322,7 @@
                     backlog,
                     backlogNanos(WorkClass.SHORT) / NANOS_PER_MILLI,
                     (long) (nanosPerCost / ledger.capacity()),
-                    leaving);
+                    draining);
         }
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/DecodeGate.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/DecodeBackend.java
@@ -27,23 +27,23 @@
  * The gate before an engine that decodes: a place is a share of the engine's memory, held from booking until the last
  * output. Where places are booked ahead, a decode whose place is not free yet waits for it. Thread-safe.
  */
-final class DecodeGate implements Gate, Backend {
+final class DecodeBackend implements AttemptHandler, JobRunner {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private final Engine engine;
     private final Sessions sessions;
     private final Admission admission;
-    private final int places;
+    private final int slots;
     private final Object lock = new Object();
     private final Set<AttemptId> running = new HashSet<>();
-    private final Deque<Ready> ready = new ArrayDeque<>();
+    private final Deque<WaitingDecode> waitingForSlot = new ArrayDeque<>();
 
     /** A started decode whose place is not free yet. */
-    private record Ready(Job job, Decode decode) {}
+    private record WaitingDecode(Job job, Decode decode) {}
 
-    DecodeGate(Engine engine, Sessions sessions, int places, Function<Backend, Admission> admission) {
+    DecodeBackend(Engine engine, Sessions sessions, int places, Function<JobRunner, Admission> admission) {
         this.engine = engine;
         this.sessions = sessions;
-        this.places = places;
+        this.slots = places;
         this.admission = admission.apply(this);
     }
 
@@ -53,10 +53,10 @@
     }
 
     @Override
-    public boolean take(AttemptMessage order) {
+    public boolean handle(AttemptMessage order) {
         if (order instanceof Book book) {
             int cost = book.work().outputTokens();
-            Job job = new Job(Tickets.of(book.attempt(), book.work(), cost), book, sessions);
+            Job job = new Job(QueuedAttempts.of(book.attempt(), book.work(), cost), book, sessions);
             admission.submit(job, book.work().queueLength(), book.leadMillis());
             return true;
         }
@@ -69,7 +69,7 @@
 
     @Override
     public void run(Job job) {
-        job.reply(new Booked(job.id(), admission.load()));
+        job.sendInterim(new Booked(job.id(), admission.load()));
     }
 
     private void decode(Decode decode) {
@@ -78,25 +78,25 @@
             // The entry sent it again after a lost connection.
             return;
         }
-        if (job == null || job.bookedAt() == 0 || !admission.start(job)) {
+        if (job == null || job.bookedAtNanos() == 0 || !admission.start(job)) {
             Refused refused = new Refused(decode.attempt(), RefusalReason.SEALED, 0, admission.load());
             sessions.send(decode.attempt().entry(), refused);
             return;
         }
-        job.started();
+        job.markStarted();
         synchronized (lock) {
-            if (running.size() >= places) {
-                ready.addLast(new Ready(job, decode));
+            if (running.size() >= slots) {
+                waitingForSlot.addLast(new WaitingDecode(job, decode));
                 return;
             }
             running.add(job.id());
         }
-        begin(job, decode);
+        startOnEngine(job, decode);
     }
 
-    private void begin(Job job, Decode decode) {
-        if (job.isSettled() || !(job.request() instanceof Book book)) {
-            freed(job);
+    private void startOnEngine(Job job, Decode decode) {
+        if (job.isComplete() || !(job.request() instanceof Book book)) {
+            memoryFreed(job);
             return;
         }
         int priority = book.work().workClass() == WorkClass.SHORT ? 0 : 1;
@@ -105,27 +105,27 @@
     }
 
     /** Takes note that the engine no longer holds memory for a job, and starts one that waits for it. */
-    private void freed(Job job) {
-        Ready next = null;
+    private void memoryFreed(Job job) {
+        WaitingDecode next = null;
         synchronized (lock) {
             if (running.remove(job.id())) {
-                next = ready.pollFirst();
+                next = waitingForSlot.pollFirst();
             }
             if (next != null) {
                 running.add(next.job().id());
             }
         }
-        admission.ended(job);
+        admission.finish(job);
         if (next != null) {
-            begin(next.job(), next.decode());
+            startOnEngine(next.job(), next.decode());
         }
     }
 
     @Override
     public void abort(Job job) {
         CompletableFuture<Void> unused = engine.cancel(job.id().toString()).thenRun(() -> {
-            job.settle(new Failed(job.id(), FailureCode.CANCELLED, "cancelled", admission.load()));
-            freed(job);
+            job.complete(new Failed(job.id(), FailureCode.CANCELLED, "cancelled", admission.load()));
+            memoryFreed(job);
         });
     }
 
@@ -138,13 +138,13 @@
 
         @Override
         public void output(String text) {
-            job.output(text, admission.load());
+            job.sendOutput(text, admission.load());
         }
 
         @Override
         public void ended(String reason) {
-            job.settle(new Finished(job.id(), job.outputCount(), reason, admission.load()));
-            freed(job);
+            job.complete(new Finished(job.id(), job.outputCount(), reason, admission.load()));
+            memoryFreed(job);
         }
 
         @Override
@@ -157,7 +157,7 @@
                     "event=engine-failed attempt=%s outputs=%d reason=%s",
                     job.id(), job.outputCount(), failure.getMessage());
             FailureCode code = EngineFailures.code(failure);
-            job.settle(new Failed(job.id(), code, String.valueOf(failure.getMessage()), admission.load()));
+            job.complete(new Failed(job.id(), code, String.valueOf(failure.getMessage()), admission.load()));
             abort(job);
         }
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
@@ -53,33 +53,33 @@
  */
 public final class EndpointDaemon implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final Duration TICK = Duration.ofMillis(50);
-    private static final Duration TENURE_RETRY = Duration.ofSeconds(2);
-    private static final Duration PURGE = Duration.ofSeconds(5);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+    private static final Duration RECORD_RETRY_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration KEY_PURGE_INTERVAL = Duration.ofSeconds(5);
     private static final Duration ATTEMPT_RETENTION = Duration.ofSeconds(30);
     private static final long DRAIN_POLL_MILLIS = 20;
     /** How long peers may take to read the last messages: as long as a silent connection is kept. */
-    private static final Duration LAST_MESSAGES = Duration.ofSeconds(6);
+    private static final Duration LAST_MESSAGES_TIMEOUT = Duration.ofSeconds(6);
 
     private final Settings settings;
     private final Identity self;
     private final TimerService timers;
     private final Sessions sessions = new Sessions();
-    private final Gate gate;
-    private final Optional<ServiceGate> serviceGate;
+    private final AttemptHandler handler;
+    private final Optional<ServiceBackend> serviceBackend;
     private final Acceptor acceptor;
-    private final OperatorServer operators;
+    private final OperatorServer operatorServer;
     private final CountDownLatch aborted = new CountDownLatch(1);
     private volatile SiteState state = SiteState.none();
-    private volatile boolean leaving;
+    private volatile boolean draining;
 
     /** Creates an endpoint with checked settings; {@link #start} starts it. */
     public EndpointDaemon(Settings settings) {
         this.settings = settings;
         this.self = Identity.start(settings.role(), settings.name(), settings.zone());
         this.timers = new TimerService(settings.name());
-        this.gate = gate(settings);
-        this.serviceGate = gate instanceof ServiceGate known ? Optional.of(known) : Optional.empty();
+        this.handler = createHandler(settings);
+        this.serviceBackend = handler instanceof ServiceBackend known ? Optional.of(known) : Optional.empty();
         this.acceptor = new Acceptor(
                 settings.listen().host(),
                 settings.listen().port(),
@@ -89,16 +89,17 @@
                 new Receiver(),
                 sessions::opened);
         Metrics metrics = new Metrics();
-        metrics.gauge("quetzalseam.endpoint.free", () -> gate.admission().load().free());
         metrics.gauge(
-                "quetzalseam.endpoint.queued", () -> gate.admission().load().queued());
-        this.operators = new OperatorServer(
+                "quetzalseam.endpoint.free", () -> handler.admission().load().free());
+        metrics.gauge(
+                "quetzalseam.endpoint.queued", () -> handler.admission().load().queued());
+        this.operatorServer = new OperatorServer(
                 settings.listen().host(), settings.listen().operatorPort(), metrics, new StatusSource());
     }
 
-    private Gate gate(Settings from) {
+    private AttemptHandler createHandler(Settings from) {
         Settings.Backend backend = from.backend();
-        Function<Backend, Admission> admission = runner -> new Admission(
+        Function<JobRunner, Admission> admission = runner -> new Admission(
                 new Admission.Rules(
                         from.policy().queue() == QueueOrder.FAIR ? WorkQueue.fair() : WorkQueue.fifo(),
                         from.policy().shedding() == Shedding.PREDICTED,
@@ -111,13 +112,14 @@
                 new AttemptTable<>(from.timing().lease().toNanos(), ATTEMPT_RETENTION.toNanos()),
                 runner);
         return switch (backend.kind()) {
-            case PREFILL -> new PrefillGate(new HttpEngine(backend.url()), sessions, admission);
-            case DECODE -> new DecodeGate(new HttpEngine(backend.url()), sessions, backend.places(), admission);
+            case PREFILL -> new PrefillBackend(new HttpEngine(backend.url()), sessions, admission);
+            case DECODE -> new DecodeBackend(new HttpEngine(backend.url()), sessions, backend.places(), admission);
             case SERVICE ->
-                new ServiceGate(
+                new ServiceBackend(
                         new HttpServiceClient(backend.url()),
                         sessions,
-                        new Tenure(new HttpObjectStore(from.platformUrl()), from.name(), self.incarnation()),
+                        new IncarnationRecords(
+                                new HttpObjectStore(from.platformUrl()), from.name(), self.incarnation()),
                         self.incarnation(),
                         from.timing().keyRetention(),
                         admission);
@@ -132,20 +134,20 @@
     @Override
     public void start() {
         timers.start();
-        serviceGate.ifPresent(ServiceGate::start);
-        serviceGate.ifPresent(this::beginTenure);
+        serviceBackend.ifPresent(ServiceBackend::start);
+        serviceBackend.ifPresent(this::recordStart);
         acceptor.start();
-        operators.start();
-        timers.every(TICK, () -> gate.admission().tick());
-        timers.every(PURGE, () -> serviceGate.ifPresent(ServiceGate::purgeKeys));
+        operatorServer.start();
+        timers.every(TICK_INTERVAL, () -> handler.admission().tick());
+        timers.every(KEY_PURGE_INTERVAL, () -> serviceBackend.ifPresent(ServiceBackend::purgeKeys));
         logger.atInfo().log(
                 "event=started role=endpoint name=%s zone=%s port=%d operator_port=%d",
-                self.name(), self.zone(), acceptor.port(), operators.port());
+                self.name(), self.zone(), acceptor.port(), operatorServer.port());
     }
 
-    private void beginTenure(ServiceGate service) {
-        if (!service.begin()) {
-            timers.after(TENURE_RETRY, () -> beginTenure(service));
+    private void recordStart(ServiceBackend service) {
+        if (!service.recordStart()) {
+            timers.after(RECORD_RETRY_INTERVAL, () -> recordStart(service));
         }
     }
 
@@ -161,19 +163,19 @@
 
     /** Returns the endpoint's load. */
     public Load load() {
-        return gate.admission().load();
+        return handler.admission().load();
     }
 
     /** Returns the operators' port. */
     public int operatorPort() {
-        return operators.port();
+        return operatorServer.port();
     }
 
     private final class Receiver implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
-            if (sessions.current(connection)) {
-                take(connection, message);
+            if (sessions.isCurrent(connection)) {
+                handle(connection, message);
             }
         }
 
@@ -183,85 +185,87 @@
         }
     }
 
-    private void take(Connection connection, Message message) {
+    private void handle(Connection connection, Message message) {
         if (message instanceof Heartbeat heartbeat) {
-            gate.admission().table().renew(heartbeat.attempts(), timers.now());
-            serviceGate.ifPresent(known -> known.members(heartbeat.members()));
+            handler.admission().table().renew(heartbeat.attempts(), timers.now());
+            serviceBackend.ifPresent(known -> known.updateMembersVersion(heartbeat.members()));
             SiteState known = state;
-            connection.send(
-                    new HeartbeatAck(gate.admission().load(), known.manifest().version(), known.members()));
+            connection.send(new HeartbeatAck(
+                    handler.admission().load(), known.manifest().version(), known.members()));
         } else if (message instanceof LeavingHeard) {
-            sessions.heard(connection);
+            sessions.shutdownAcknowledged(connection);
         } else if (message instanceof FetchState) {
             connection.send(state);
         } else if (message instanceof SiteState given) {
-            remember(given);
+            updateState(given);
         } else if (message instanceof AttemptMessage order) {
-            takeOrder(order);
+            handleAttemptMessage(order);
         }
     }
 
-    private synchronized void remember(SiteState given) {
+    private synchronized void updateState(SiteState given) {
         state = SiteState.newer(state, given);
     }
 
-    private void takeOrder(AttemptMessage order) {
+    private void handleAttemptMessage(AttemptMessage order) {
         AttemptId id = order.attempt();
         if (order instanceof Cancel) {
-            gate.admission().cancel(id);
+            handler.admission().cancel(id);
         } else if (order instanceof Seal) {
             sessions.send(
                     id.entry(),
                     new SealAnswer(
-                            id, gate.admission().seal(id), gate.admission().load()));
+                            id,
+                            handler.admission().seal(id),
+                            handler.admission().load()));
         } else if (order instanceof Resume resume) {
             resume(resume);
-        } else if (!gate.take(order)) {
+        } else if (!handler.handle(order)) {
             refuse(id, RefusalReason.WRONG_ENDPOINT);
         }
     }
 
     /** Says again what is known of an attempt; one that never arrived is sealed and reported as not run. */
     private void resume(Resume resume) {
-        Job job = gate.admission().table().work(resume.attempt());
+        Job job = handler.admission().table().work(resume.attempt());
         if (job != null) {
-            job.replay(resume.next(), gate.admission().load());
+            job.replay(resume.next(), handler.admission().load());
             return;
         }
-        gate.admission().seal(resume.attempt());
+        handler.admission().seal(resume.attempt());
         refuse(resume.attempt(), RefusalReason.SEALED);
     }
 
     private void refuse(AttemptId id, RefusalReason reason) {
-        sessions.send(id.entry(), new Refused(id, reason, 0, gate.admission().load()));
+        sessions.send(id.entry(), new Refused(id, reason, 0, handler.admission().load()));
     }
 
     @Override
     public void stop() {
-        leave();
+        startDraining();
         long until = timers.now() + settings.timing().drain().toNanos();
-        while (gate.admission().live() > 0 && timers.now() - until < 0 && !isAborted()) {
+        while (handler.admission().jobCount() > 0 && timers.now() - until < 0 && !isAborted()) {
             pause();
         }
-        if (gate.admission().live() > 0) {
+        if (handler.admission().jobCount() > 0) {
             logger.atWarning().log(
                     "event=drain-incomplete name=%s left=%d",
-                    self.name(), gate.admission().live());
+                    self.name(), handler.admission().jobCount());
         }
-        awaitHeard();
-        serviceGate.ifPresent(ServiceGate::end);
+        awaitAcknowledgements();
+        serviceBackend.ifPresent(ServiceBackend::recordPlannedStop);
         deliverLastMessages();
-        release();
+        stopComponents();
         logger.atInfo().log("event=stopped role=endpoint name=%s", self.name());
     }
 
     /** Goes on answering until no entry sends work in the belief that it is taken here. */
-    private void awaitHeard() {
+    private void awaitAcknowledgements() {
         long until = timers.now() + settings.timing().lease().toNanos();
-        while (!sessions.allHeard() && timers.now() - until < 0 && !isAborted()) {
+        while (!sessions.allAcknowledgedShutdown() && timers.now() - until < 0 && !isAborted()) {
             pause();
         }
-        if (!sessions.allHeard()) {
+        if (!sessions.allAcknowledgedShutdown()) {
             logger.atInfo().log("event=leaving-not-heard name=%s", self.name());
         }
     }
@@ -269,12 +273,12 @@
     /** Work is over when its last output is handed to a connection, which may be seconds before that has left. */
     private void deliverLastMessages() {
         try {
-            acceptor.finish().get(LAST_MESSAGES.toMillis(), TimeUnit.MILLISECONDS);
+            acceptor.finish().get(LAST_MESSAGES_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             logger.atWarning().log(
                     "event=last-messages-cut name=%s limit_ms=%d connections=%d",
                     self.name(),
-                    LAST_MESSAGES.toMillis(),
+                    LAST_MESSAGES_TIMEOUT.toMillis(),
                     acceptor.connections().size());
         } catch (ExecutionException e) {
             throw new IllegalStateException("connections end without a result", e);
@@ -284,13 +288,14 @@
     }
 
     /** Takes no new work from now on, tells every entry so, and hands queued work back. */
-    public void leave() {
-        leaving = true;
-        gate.admission().leave();
-        List<String> keys = serviceGate.map(ServiceGate::rememberedKeys).orElse(List.of());
-        sessions.tellLeaving(new Leaving(keys));
+    public void startDraining() {
+        draining = true;
+        handler.admission().drain();
+        List<String> keys = serviceBackend.map(ServiceBackend::retainedKeys).orElse(List.of());
+        sessions.announceShutdown(new Leaving(keys));
         logger.atInfo().log(
-                "event=leaving name=%s live=%d", self.name(), gate.admission().live());
+                "event=leaving name=%s live=%d",
+                self.name(), handler.admission().jobCount());
     }
 
     private boolean isAborted() {
@@ -311,20 +316,20 @@
     /** Drops everything at once, as a crash would. */
     public void abort() {
         aborted.countDown();
-        release();
+        stopComponents();
     }
 
-    private void release() {
+    private void stopComponents() {
         acceptor.stop();
-        operators.stop();
-        serviceGate.ifPresent(ServiceGate::stop);
+        operatorServer.stop();
+        serviceBackend.ifPresent(ServiceBackend::stop);
         timers.stop();
     }
 
     private final class StatusSource implements OperatorServer.Source {
         @Override
         public boolean ready() {
-            return !leaving;
+            return !draining;
         }
 
         @Override
@@ -337,7 +342,7 @@
                     settings.backend().kind().name(),
                     known.manifest().version(),
                     known.members(),
-                    gate.admission().load());
+                    handler.admission().load());
         }
 
         @Override
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Tenure.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/IncarnationRecords.java
@@ -18,7 +18,7 @@
  * its predecessor crashed and may have seen any key. So must one that finds what an older copy of the store shows: a later process's
  * record may be gone. Thread-safe.
  */
-final class Tenure {
+final class IncarnationRecords {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     /**
@@ -30,8 +30,8 @@
      * @param era the store's era when it was written
      * @param keys digests of the keys it had seen, when it stopped as planned
      */
-    record Mark(long incarnation, boolean left, long atMillis, long era, List<String> keys) {
-        Mark {
+    record IncarnationRecord(long incarnation, boolean left, long atMillis, long era, List<String> keys) {
+        IncarnationRecord {
             keys = List.copyOf(keys);
         }
     }
@@ -41,9 +41,9 @@
     private final long incarnation;
     private long storeVersion;
     private Optional<Set<String>> predecessorKeys = Optional.empty();
-    private boolean begun;
+    private boolean startRecorded;
 
-    Tenure(ObjectStore store, String processName, long incarnation) {
+    IncarnationRecords(ObjectStore store, String processName, long incarnation) {
         this.store = store;
         this.name = "tenure-" + processName;
         this.incarnation = incarnation;
@@ -55,20 +55,20 @@
     }
 
     /** Reads the predecessor's record and replaces it. Returns false when the store could not be reached: try again. */
-    synchronized boolean begin() {
-        if (begun) {
+    synchronized boolean recordStart() {
+        if (startRecorded) {
             return true;
         }
         try {
             Optional<StoredObject> before = store.read(name);
-            Optional<Mark> mark = before.isPresent() ? Optional.of(mark(before.get())) : Optional.empty();
+            Optional<IncarnationRecord> mark = before.isPresent() ? Optional.of(mark(before.get())) : Optional.empty();
             if (mark.isPresent() && mark.get().incarnation() == incarnation) {
                 storeVersion = before.get().version();
             } else {
-                predecessorKeys = keysOf(mark);
+                predecessorKeys = keysSeenBy(mark);
                 storeVersion = write(mark(false, List.of()), before);
             }
-            begun = true;
+            startRecorded = true;
             return true;
         } catch (StoreException | IOException e) {
             logger.atInfo().log("event=tenure-unknown name=%s reason=\"%s\"", name, e.getMessage());
@@ -76,7 +76,7 @@
         }
     }
 
-    private Optional<Set<String>> keysOf(Optional<Mark> before) {
+    private Optional<Set<String>> keysSeenBy(Optional<IncarnationRecord> before) {
         if (before.isEmpty()) {
             return store.era() == StorePosition.NO_ERA ? Optional.of(Set.of()) : Optional.empty();
         }
@@ -84,15 +84,15 @@
         return lastWord ? Optional.of(Set.copyOf(before.get().keys())) : Optional.empty();
     }
 
-    private Mark mark(boolean left, List<String> keys) {
-        return new Mark(incarnation, left, System.currentTimeMillis(), store.era(), keys);
+    private IncarnationRecord mark(boolean left, List<String> keys) {
+        return new IncarnationRecord(incarnation, left, System.currentTimeMillis(), store.era(), keys);
     }
 
-    private static Mark mark(StoredObject object) throws IOException {
-        return Json.read(object.value(), Mark.class);
+    private static IncarnationRecord mark(StoredObject object) throws IOException {
+        return Json.read(object.value(), IncarnationRecord.class);
     }
 
-    private long write(Mark mark, Optional<StoredObject> before) {
+    private long write(IncarnationRecord mark, Optional<StoredObject> before) {
         byte[] value = Json.write(mark);
         return before.isEmpty()
                 ? store.create(name, value).version()
@@ -100,34 +100,34 @@
     }
 
     /** Leaves the record of a planned stop. When the store can't be reached, the successor assumes a crash. */
-    synchronized void end(List<String> keys) {
-        if (!begun) {
+    synchronized void recordPlannedStop(List<String> keys) {
+        if (!startRecorded) {
             return;
         }
         try {
-            writeEnd(keys);
+            writePlannedStop(keys);
         } catch (StoreException | IOException e) {
             logger.atWarning().log("event=tenure-not-ended name=%s reason=\"%s\"", name, e.getMessage());
         }
     }
 
     /** Reads the record first: only an answer tells whether the store came back, and a condition of before may name another's record. */
-    private void writeEnd(List<String> keys) throws IOException {
+    private void writePlannedStop(List<String> keys) throws IOException {
         Optional<StoredObject> shown = store.read(name);
         if (StorePosition.ofNumber(storeVersion).era() == store.era()) {
             store.replace(name, Json.write(mark(true, keys)), storeVersion);
-        } else if (isSuccessors(shown)) {
+        } else if (isFromSuccessor(shown)) {
             logger.atWarning().log("event=tenure-not-ended name=%s reason=\"a successor has begun\"", name);
         } else {
             write(mark(true, keys), shown);
         }
     }
 
-    private boolean isSuccessors(Optional<StoredObject> shown) throws IOException {
+    private boolean isFromSuccessor(Optional<StoredObject> shown) throws IOException {
         if (shown.isEmpty()) {
             return false;
         }
-        Mark mark = mark(shown.get());
+        IncarnationRecord mark = mark(shown.get());
         return mark.incarnation() != incarnation && mark.era() == store.era();
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Job.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Job.java
@@ -17,28 +17,28 @@
  * Thread-safe.
  */
 final class Job {
-    private final QueuedAttempt ticket;
+    private final QueuedAttempt queuedAttempt;
     private final AttemptMessage request;
     private final Sessions sessions;
     private final List<String> outputs = new ArrayList<>();
-    private @Nullable AttemptReply last;
-    private boolean settled;
-    private Consumer<Refused> refusal = refused -> {};
-    private volatile long bookedAt;
+    private @Nullable AttemptReply lastReply;
+    private boolean complete;
+    private Consumer<Refused> refusalListener = refused -> {};
+    private volatile long bookedAtNanos;
     private volatile boolean started;
 
     Job(QueuedAttempt ticket, AttemptMessage request, Sessions sessions) {
-        this.ticket = ticket;
+        this.queuedAttempt = ticket;
         this.request = request;
         this.sessions = sessions;
     }
 
     AttemptId id() {
-        return ticket.id();
+        return queuedAttempt.id();
     }
 
-    QueuedAttempt ticket() {
-        return ticket;
+    QueuedAttempt queuedAttempt() {
+        return queuedAttempt;
     }
 
     AttemptMessage request() {
@@ -46,12 +46,12 @@
     }
 
     /** Returns when the job was given its place, in nanoseconds of the monotonic clock. */
-    long bookedAt() {
-        return bookedAt;
+    long bookedAtNanos() {
+        return bookedAtNanos;
     }
 
-    void booked(long now) {
-        bookedAt = now;
+    void setBookedAt(long now) {
+        bookedAtNanos = now;
     }
 
     /** Returns whether the back end has been given the job. */
@@ -59,7 +59,7 @@
         return started;
     }
 
-    void started() {
+    void markStarted() {
         started = true;
     }
 
@@ -67,8 +67,8 @@
     void whenRefused(Consumer<Refused> listener) {
         Refused early = null;
         synchronized (this) {
-            refusal = listener;
-            if (last instanceof Refused refused) {
+            refusalListener = listener;
+            if (lastReply instanceof Refused refused) {
                 early = refused;
             }
         }
@@ -77,28 +77,28 @@
         }
     }
 
-    synchronized boolean isSettled() {
-        return settled;
+    synchronized boolean isComplete() {
+        return complete;
     }
 
     /** Sends a reply that isn't the last one. */
-    synchronized void reply(AttemptReply reply) {
-        if (!settled) {
-            last = reply;
+    synchronized void sendInterim(AttemptReply reply) {
+        if (!complete) {
+            lastReply = reply;
             sessions.send(id().entry(), reply);
         }
     }
 
     /** Sends the last reply. Returns false, and sends nothing, when there has been one. */
-    boolean settle(AttemptReply reply) {
+    boolean complete(AttemptReply reply) {
         Consumer<Refused> listener;
         synchronized (this) {
-            if (settled) {
+            if (complete) {
                 return false;
             }
-            settled = true;
-            last = reply;
-            listener = refusal;
+            complete = true;
+            lastReply = reply;
+            listener = refusalListener;
             sessions.send(id().entry(), reply);
         }
         if (reply instanceof Refused refused) {
@@ -107,8 +107,8 @@
         return true;
     }
 
-    synchronized void output(String text, Load load) {
-        if (!settled) {
+    synchronized void sendOutput(String text, Load load) {
+        if (!complete) {
             sessions.send(id().entry(), new Outputs(id(), outputs.size(), List.of(text), load));
             outputs.add(text);
         }
@@ -124,7 +124,7 @@
             List<String> missed = List.copyOf(outputs.subList(Math.max(0, next), outputs.size()));
             sessions.send(id().entry(), new Outputs(id(), Math.max(0, next), missed, load));
         }
-        AttemptReply reply = last;
+        AttemptReply reply = lastReply;
         if (reply != null) {
             sessions.send(id().entry(), reply);
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/PrefillGate.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/PrefillBackend.java
@@ -16,14 +16,14 @@
 import org.quetzalseam.wire.message.Refused;
 
 /** The gate before an engine that prefills: a place is one prompt being prefilled. Thread-safe. */
-final class PrefillGate implements Gate, Backend {
+final class PrefillBackend implements AttemptHandler, JobRunner {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final Engine engine;
     private final Sessions sessions;
     private final Admission admission;
 
-    PrefillGate(Engine engine, Sessions sessions, Function<Backend, Admission> admission) {
+    PrefillBackend(Engine engine, Sessions sessions, Function<JobRunner, Admission> admission) {
         this.engine = engine;
         this.sessions = sessions;
         this.admission = admission.apply(this);
@@ -35,12 +35,12 @@
     }
 
     @Override
-    public boolean take(AttemptMessage order) {
+    public boolean handle(AttemptMessage order) {
         if (!(order instanceof Prefill prefill)) {
             return false;
         }
         int cost = prefill.work().promptTokens();
-        Job job = new Job(Tickets.of(prefill.attempt(), prefill.work(), cost), prefill, sessions);
+        Job job = new Job(QueuedAttempts.of(prefill.attempt(), prefill.work(), cost), prefill, sessions);
         admission.submit(job, prefill.work().queueLength(), 0);
         return true;
     }
@@ -48,37 +48,37 @@
     @Override
     public void run(Job job) {
         if (!(job.request() instanceof Prefill prefill) || !admission.start(job)) {
-            job.settle(new Refused(job.id(), RefusalReason.SEALED, 0, admission.load()));
-            admission.ended(job);
+            job.complete(new Refused(job.id(), RefusalReason.SEALED, 0, admission.load()));
+            admission.finish(job);
             return;
         }
         int priority = prefill.work().workClass() == WorkClass.SHORT ? 0 : 1;
         CompletableFuture<Void> unused = engine.prefill(
                         new EngineRequest(job.id().toString(), priority, prefill.body()))
-                .thenAccept(transfer -> job.settle(new Prefilled(job.id(), transfer, admission.load())))
+                .thenAccept(transfer -> job.complete(new Prefilled(job.id(), transfer, admission.load())))
                 .exceptionally(failure -> {
                     fail(job, failure);
                     return null;
                 })
-                .thenRun(() -> admission.ended(job));
+                .thenRun(() -> admission.finish(job));
     }
 
     private void fail(Job job, Throwable failure) {
         EngineException cause = EngineFailures.of(failure);
         logger.atWarning().log("event=engine-failed attempt=%s reason=%s", job.id(), cause.getMessage());
         if (cause.code() == EngineException.Code.NOT_RUN) {
-            job.settle(new Refused(job.id(), RefusalReason.BACKEND_DOWN, 0, admission.load()));
+            job.complete(new Refused(job.id(), RefusalReason.BACKEND_DOWN, 0, admission.load()));
             return;
         }
         FailureCode code = EngineFailures.code(cause);
-        job.settle(new Failed(job.id(), code, String.valueOf(cause.getMessage()), admission.load()));
+        job.complete(new Failed(job.id(), code, String.valueOf(cause.getMessage()), admission.load()));
     }
 
     @Override
     public void abort(Job job) {
         CompletableFuture<Void> unused = engine.cancel(job.id().toString()).thenRun(() -> {
-            job.settle(new Failed(job.id(), FailureCode.CANCELLED, "cancelled", admission.load()));
-            admission.ended(job);
+            job.complete(new Failed(job.id(), FailureCode.CANCELLED, "cancelled", admission.load()));
+            admission.finish(job);
         });
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Tickets.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/QueuedAttempts.java
@@ -6,10 +6,10 @@
 import org.quetzalseam.wire.message.Work;
 
 /** Makes queue tickets from what entries send. Stateless. */
-final class Tickets {
+final class QueuedAttempts {
     private static final long MAX_WAIT_MILLIS = Duration.ofDays(1).toMillis();
 
-    private Tickets() {}
+    private QueuedAttempts() {}
 
     static QueuedAttempt of(AttemptId id, Work work, long cost) {
         long wait = Math.max(0, Math.min(work.waitMillis(), MAX_WAIT_MILLIS));
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/ServiceGate.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/ServiceBackend.java
@@ -30,7 +30,7 @@
  * The gate before a plain service: a place is one call that runs. It is also the holder of the idempotency keys that
  * rendezvous hashing gives to this endpoint, so that a key is decided on where its call would run. Thread-safe.
  */
-final class ServiceGate implements Gate, Backend, Service {
+final class ServiceBackend implements AttemptHandler, JobRunner, Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** By how much the clocks of callers may be ahead, and a list of VMs may lag behind. */
     private static final Duration CLOCK_MARGIN = Duration.ofSeconds(5);
@@ -38,23 +38,23 @@
     private final HttpServiceClient client;
     private final Sessions sessions;
     private final Admission admission;
-    private final Tenure tenure;
+    private final IncarnationRecords incarnationRecords;
     private final long incarnation;
     private final KeyTable<AttemptReply> keys;
     private final long keyRetentionNanos;
-    private final long startedAt = System.nanoTime();
-    private volatile long members;
+    private final long startedAtNanos = System.nanoTime();
+    private volatile long membersVersion;
 
-    ServiceGate(
+    ServiceBackend(
             HttpServiceClient client,
             Sessions sessions,
-            Tenure tenure,
+            IncarnationRecords tenure,
             long incarnation,
             Duration keyRetention,
-            Function<Backend, Admission> admission) {
+            Function<JobRunner, Admission> admission) {
         this.client = client;
         this.sessions = sessions;
-        this.tenure = tenure;
+        this.incarnationRecords = tenure;
         this.incarnation = incarnation;
         this.keyRetentionNanos = keyRetention.toNanos();
         this.keys = new KeyTable<>(keyRetentionNanos);
@@ -77,25 +77,25 @@
     }
 
     /** Notes the highest version of the list of VMs that any entry uses. */
-    void members(long version) {
+    void updateMembersVersion(long version) {
         synchronized (this) {
-            members = Math.max(members, version);
+            membersVersion = Math.max(membersVersion, version);
         }
     }
 
     /** Returns the digests of the keys seen or barred here and not yet forgotten. */
-    List<String> rememberedKeys() {
+    List<String> retainedKeys() {
         return keys.retainedKeys();
     }
 
     /** Finds out about the process before this one. Returns false when that has to be tried again. */
-    boolean begin() {
-        return tenure.begin();
+    boolean recordStart() {
+        return incarnationRecords.recordStart();
     }
 
     /** Leaves word for the process after this one. */
-    void end() {
-        tenure.end(keys.retainedKeys());
+    void recordPlannedStop() {
+        incarnationRecords.recordPlannedStop(keys.retainedKeys());
     }
 
     void purgeKeys() {
@@ -103,16 +103,16 @@
     }
 
     @Override
-    public boolean take(AttemptMessage order) {
+    public boolean handle(AttemptMessage order) {
         if (order instanceof FenceKey fence) {
-            boolean neverSeen = deny(fence);
+            boolean neverSeen = fence(fence);
             sessions.send(fence.attempt().entry(), new KeyFenced(fence.attempt(), neverSeen, admission.load()));
             return true;
         }
         if (!(order instanceof Call call)) {
             return false;
         }
-        Job job = new Job(Tickets.of(call.attempt(), call.work(), 1), call, sessions);
+        Job job = new Job(QueuedAttempts.of(call.attempt(), call.work(), 1), call, sessions);
         if (!call.key().present() || claim(job, call.key())) {
             admission.submit(job, call.work().queueLength(), 0);
             releaseIfRefused(job, call);
@@ -121,10 +121,10 @@
     }
 
     /** Bars a key here, unless it was or may have been seen here or by the process before. */
-    private boolean deny(FenceKey fence) {
+    private boolean fence(FenceKey fence) {
         boolean known = keys.isKnown(fence.key());
-        boolean old = mayBeOlder(fence.mintedAtMillis(), System.nanoTime() - startedAt);
-        if (!known && old && tenure.mayHaveBeenSeen(fence.key())) {
+        boolean old = mayBeOlder(fence.mintedAtMillis(), System.nanoTime() - startedAtNanos);
+        if (!known && old && incarnationRecords.mayHaveBeenSeen(fence.key())) {
             return false;
         }
         return keys.fence(fence.key(), System.nanoTime());
@@ -136,19 +136,19 @@
             refuse(job, RefusalReason.LEAVING);
             return false;
         }
-        if (use.members() < members) {
+        if (use.members() < membersVersion) {
             refuse(job, RefusalReason.OLD_MEMBERS);
             return false;
         }
         if (!keys.isKnown(use.key()) && use.fencedFor() != incarnation) {
-            Optional<RefusalReason> doubt = doubt(use);
+            Optional<RefusalReason> doubt = uncertainty(use);
             if (doubt.isPresent()) {
                 refuse(job, doubt.get());
                 return false;
             }
         }
-        Claim claim =
-                keys.claim(use.key(), use.fingerprint(), reply -> job.settle(readdress(job, reply)), System.nanoTime());
+        Claim claim = keys.claim(
+                use.key(), use.fingerprint(), reply -> job.complete(readdress(job, reply)), System.nanoTime());
         switch (claim) {
             case OWNED -> {
                 return true;
@@ -163,10 +163,10 @@
     }
 
     /** Returns why a key that is unknown here may have been seen before, if it may. */
-    private Optional<RefusalReason> doubt(KeyUse use) {
-        long age = System.nanoTime() - startedAt;
+    private Optional<RefusalReason> uncertainty(KeyUse use) {
+        long age = System.nanoTime() - startedAtNanos;
         boolean beforeThisProcess = mayBeOlder(use.mintedAtMillis(), age);
-        if (beforeThisProcess && tenure.mayHaveBeenSeen(use.key())) {
+        if (beforeThisProcess && incarnationRecords.mayHaveBeenSeen(use.key())) {
             return Optional.of(RefusalReason.KEY_FORGOTTEN);
         }
         // Also where the predecessor had not seen the key: others may have relied on that and run it.
@@ -185,7 +185,7 @@
     }
 
     private void refuse(Job job, RefusalReason reason) {
-        job.settle(new Refused(job.id(), reason, 0, admission.load()));
+        job.complete(new Refused(job.id(), reason, 0, admission.load()));
     }
 
     /** Returns a reply to one attempt as a reply to another with the same key. */
@@ -211,8 +211,8 @@
     @Override
     public void run(Job job) {
         if (!(job.request() instanceof Call call) || !admission.start(job)) {
-            job.settle(new Refused(job.id(), RefusalReason.SEALED, 0, admission.load()));
-            admission.ended(job);
+            job.complete(new Refused(job.id(), RefusalReason.SEALED, 0, admission.load()));
+            admission.finish(job);
             return;
         }
         CompletableFuture<Void> unused = client.call(call)
@@ -221,7 +221,7 @@
                     finish(job, call, failure(job, HttpClients.cause(failure)));
                     return null;
                 })
-                .thenRun(() -> admission.ended(job));
+                .thenRun(() -> admission.finish(job));
     }
 
     private AttemptReply answer(Job job, ServiceAnswer answer) {
@@ -242,12 +242,12 @@
         if (call.key().present() && !(reply instanceof Refused)) {
             keys.finish(call.key().key(), reply, System.nanoTime());
         }
-        job.settle(reply);
+        job.complete(reply);
     }
 
     /** A call that has begun can't be taken back: it runs to its end, and its answer stays readable for its key. */
     @Override
     public void abort(Job job) {
-        job.settle(new Failed(job.id(), FailureCode.CANCELLED, "cancelled", admission.load()));
+        job.complete(new Failed(job.id(), FailureCode.CANCELLED, "cancelled", admission.load()));
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Sessions.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Sessions.java
@@ -17,8 +17,8 @@
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final Map<Long, Connection> byIncarnation = new ConcurrentHashMap<>();
-    private final Set<Connection> unheard = ConcurrentHashMap.newKeySet();
-    private volatile @Nullable Leaving notice;
+    private final Set<Connection> unacknowledged = ConcurrentHashMap.newKeySet();
+    private volatile @Nullable Leaving shutdownNotice;
 
     void opened(Connection connection) {
         long incarnation = connection.peer().incarnation();
@@ -26,19 +26,19 @@
         if (kept != connection) {
             connection.close();
         }
-        Leaving told = notice;
+        Leaving told = shutdownNotice;
         if (told != null) {
-            tell(connection, told);
+            sendLeaving(connection, told);
         }
     }
 
     /** Returns whether a message that arrived on the connection is to be taken. */
-    boolean current(Connection connection) {
+    boolean isCurrent(Connection connection) {
         return byIncarnation.get(connection.peer().incarnation()) == connection;
     }
 
     void closed(Connection connection) {
-        unheard.remove(connection);
+        unacknowledged.remove(connection);
         byIncarnation.remove(connection.peer().incarnation(), connection);
     }
 
@@ -51,25 +51,25 @@
     }
 
     /** Tells every entry that this process leaves, also those whose connection opens later. */
-    void tellLeaving(Leaving leaving) {
-        notice = leaving;
-        byIncarnation.values().forEach(connection -> tell(connection, leaving));
+    void announceShutdown(Leaving leaving) {
+        shutdownNotice = leaving;
+        byIncarnation.values().forEach(connection -> sendLeaving(connection, leaving));
     }
 
-    private void tell(Connection connection, Leaving leaving) {
-        unheard.add(connection);
+    private void sendLeaving(Connection connection, Leaving leaving) {
+        unacknowledged.add(connection);
         if (!connection.send(leaving)) {
-            unheard.remove(connection);
+            unacknowledged.remove(connection);
         }
     }
 
     /** Takes note that what an entry sends on a connection from now on it sends knowing that this process leaves. */
-    void heard(Connection connection) {
-        unheard.remove(connection);
+    void shutdownAcknowledged(Connection connection) {
+        unacknowledged.remove(connection);
     }
 
     /** Returns whether each entry that was told has heard that this process leaves, or its connection is closed. */
-    boolean allHeard() {
-        return unheard.isEmpty();
+    boolean allAcknowledgedShutdown() {
+        return unacknowledged.isEmpty();
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/StreamLines.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/EventStreamParser.java
@@ -16,32 +16,32 @@
  * Turns the server-sent events of one stream into outputs. The sink is told of exactly one end, whatever happens. Called
  * by the HTTP client, one call at a time, but for {@link #cancel} and {@link #fail}, which any thread may call.
  */
-final class StreamLines {
+final class EventStreamParser {
     private static final String DATA = "data:";
     private static final String DONE = "[DONE]";
-    private static final int MAX_LINE = 1 << 20;
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
     private final OutputSink sink;
-    private final Runnable ended;
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final Runnable endListener;
+    private final AtomicBoolean ended = new AtomicBoolean();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private String reason = "stop";
+    private String finishReason = "stop";
     private volatile Flow.@Nullable Subscription subscription;
 
-    StreamLines(OutputSink sink, Runnable ended) {
+    EventStreamParser(OutputSink sink, Runnable ended) {
         this.sink = sink;
-        this.ended = ended;
+        this.endListener = ended;
     }
 
-    Flow.Subscriber<List<ByteBuffer>> asBytes() {
-        return new Bytes();
+    Flow.Subscriber<List<ByteBuffer>> byteSubscriber() {
+        return new ByteSubscriber();
     }
 
-    private final class Bytes implements Flow.Subscriber<List<ByteBuffer>> {
+    private final class ByteSubscriber implements Flow.Subscriber<List<ByteBuffer>> {
         @Override
         public void onSubscribe(Flow.Subscription given) {
             subscription = given;
-            if (over.get()) {
+            if (ended.get()) {
                 given.cancel();
             } else {
                 given.request(Long.MAX_VALUE);
@@ -50,7 +50,7 @@
 
         @Override
         public void onNext(List<ByteBuffer> buffers) {
-            buffers.forEach(StreamLines.this::take);
+            buffers.forEach(EventStreamParser.this::consume);
         }
 
         @Override
@@ -64,26 +64,26 @@
         }
     }
 
-    private void take(ByteBuffer buffer) {
+    private void consume(ByteBuffer buffer) {
         while (buffer.hasRemaining()) {
             byte next = buffer.get();
             if (next == '\n') {
-                takeLine(line.toString(StandardCharsets.UTF_8).strip());
+                handleLine(line.toString(StandardCharsets.UTF_8).strip());
                 line.reset();
-            } else if (line.size() < MAX_LINE) {
+            } else if (line.size() < MAX_LINE_BYTES) {
                 line.write(next);
             }
         }
     }
 
-    private void takeLine(String text) {
-        if (over.get() || !text.startsWith(DATA)) {
+    private void handleLine(String text) {
+        if (ended.get() || !text.startsWith(DATA)) {
             return;
         }
         String data = text.substring(DATA.length()).strip();
         if (data.equals(DONE)) {
-            if (end()) {
-                sink.ended(reason);
+            if (markEnded()) {
+                sink.ended(finishReason);
             }
             return;
         }
@@ -96,7 +96,7 @@
                 sink.output(output);
             }
             if (choice.hasNonNull("finish_reason")) {
-                reason = choice.path("finish_reason").asText();
+                finishReason = choice.path("finish_reason").asText();
             }
         } catch (IOException e) {
             cancelSubscription();
@@ -105,7 +105,7 @@
     }
 
     void fail(EngineException failure) {
-        if (end()) {
+        if (markEnded()) {
             sink.failed(failure);
         }
     }
@@ -122,10 +122,10 @@
         }
     }
 
-    private boolean end() {
-        boolean first = over.compareAndSet(false, true);
+    private boolean markEnded() {
+        boolean first = ended.compareAndSet(false, true);
         if (first) {
-            ended.run();
+            endListener.run();
         }
         return first;
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/HttpEngine.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/HttpEngine.java
@@ -26,7 +26,7 @@
 public final class HttpEngine implements Engine {
     private static final Duration PREFILL_TIMEOUT = Duration.ofSeconds(60);
     private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(2);
-    private static final int CANCEL_TRIES = 3;
+    private static final int MAX_CANCEL_ATTEMPTS = 3;
     private static final int OK = 200;
     private static final int GONE = 410;
     private static final int TOO_MANY_REQUESTS = 429;
@@ -34,14 +34,14 @@
     private static final int UNAVAILABLE = 503;
 
     private final URI completions;
-    private final String requests;
+    private final String requestsUrl;
     private final HttpClient client;
-    private final Map<String, StreamLines> streams = new ConcurrentHashMap<>();
+    private final Map<String, EventStreamParser> streams = new ConcurrentHashMap<>();
 
     /** Creates a client of the engine at a base address such as {@code http://127.0.0.1:9000}. */
     public HttpEngine(String base) {
         this.completions = URI.create(base + "/v1/completions");
-        this.requests = base + "/v1/requests/";
+        this.requestsUrl = base + "/v1/requests/";
         this.client = HttpClients.create();
     }
 
@@ -77,11 +77,11 @@
                     if (failure != null) {
                         throw failure(failure);
                     }
-                    return transfer(response);
+                    return parseTransfer(response);
                 });
     }
 
-    private static byte[] transfer(HttpResponse<byte[]> response) {
+    private static byte[] parseTransfer(HttpResponse<byte[]> response) {
         if (response.statusCode() != OK) {
             throw failure(response.statusCode());
         }
@@ -94,7 +94,7 @@
 
     @Override
     public void decode(EngineRequest request, byte[] transfer, OutputSink sink) {
-        StreamLines lines = new StreamLines(sink, () -> streams.remove(request.id()));
+        EventStreamParser lines = new EventStreamParser(sink, () -> streams.remove(request.id()));
         HttpRequest post;
         try {
             ObjectNode body = body(request);
@@ -118,9 +118,10 @@
                 });
     }
 
-    private static HttpResponse.BodySubscriber<Integer> bodyOf(HttpResponse.ResponseInfo info, StreamLines lines) {
+    private static HttpResponse.BodySubscriber<Integer> bodyOf(
+            HttpResponse.ResponseInfo info, EventStreamParser lines) {
         return info.statusCode() == OK
-                ? BodySubscribers.fromSubscriber(lines.asBytes(), subscriber -> OK)
+                ? BodySubscribers.fromSubscriber(lines.byteSubscriber(), subscriber -> OK)
                 : BodySubscribers.replacing(info.statusCode());
     }
 
@@ -145,15 +146,15 @@
 
     @Override
     public CompletableFuture<Void> cancel(String id) {
-        StreamLines lines = streams.remove(id);
+        EventStreamParser lines = streams.remove(id);
         if (lines != null) {
             lines.cancel();
         }
-        HttpRequest delete = HttpRequest.newBuilder(URI.create(requests + id))
+        HttpRequest delete = HttpRequest.newBuilder(URI.create(requestsUrl + id))
                 .timeout(CANCEL_TIMEOUT)
                 .DELETE()
                 .build();
-        return delete(delete, CANCEL_TRIES);
+        return delete(delete, MAX_CANCEL_ATTEMPTS);
     }
 
     private CompletableFuture<Void> delete(HttpRequest delete, int tries) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/service/HttpServiceClient.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/service/HttpServiceClient.java
@@ -27,7 +27,7 @@
  */
 public final class HttpServiceClient implements Service {
     /** Headers that concern one connection only, or that the client sets itself. */
-    private static final Set<String> NOT_PASSED = Set.of(
+    private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "content-length",
             "date",
@@ -41,41 +41,41 @@
 
     private final String base;
     private final HttpClient pooled;
-    private final SingleUseClient single;
+    private final SingleUseClient singleUse;
 
     /** Creates a client of the service at a base address such as {@code http://127.0.0.1:9100}. */
     public HttpServiceClient(String base) {
         this.base = base;
         this.pooled = HttpClients.create();
-        this.single = new SingleUseClient(URI.create(base));
+        this.singleUse = new SingleUseClient(URI.create(base));
     }
 
     @Override
     public void start() {
-        single.start();
+        singleUse.start();
     }
 
     @Override
     public void stop() {
-        single.stop();
+        singleUse.stop();
     }
 
     /** Returns whether a header may be passed on between caller and service. */
-    public static boolean passed(String header) {
-        return !NOT_PASSED.contains(header.toLowerCase(Locale.ROOT));
+    public static boolean isForwarded(String header) {
+        return !NOT_FORWARDED.contains(header.toLowerCase(Locale.ROOT));
     }
 
     /** Returns the headers of a call that go to the service. */
-    static Map<String, String> passedHeaders(Call call) {
+    static Map<String, String> forwardedHeaders(Call call) {
         return call.headers().entrySet().stream()
-                .filter(header -> passed(header.getKey()))
+                .filter(header -> isForwarded(header.getKey()))
                 .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
     }
 
     /** Makes a call. The future fails with a {@link ServiceException}. */
     public CompletableFuture<ServiceAnswer> call(Call call) {
         try {
-            return call.idempotent() ? pooledCall(call) : single.call(call);
+            return call.idempotent() ? pooledCall(call) : singleUse.call(call);
         } catch (IllegalArgumentException e) {
             return CompletableFuture.failedFuture(
                     new ServiceException(Code.NOT_RUN, "the call can't be expressed in HTTP: " + e.getMessage(), e));
@@ -96,14 +96,14 @@
         HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create(base + call.path()))
                 .timeout(Duration.ofMillis(Math.max(1, call.timeoutMillis())))
                 .method(call.method(), BodyPublishers.ofByteArray(call.body()));
-        passedHeaders(call).forEach(builder::setHeader);
+        forwardedHeaders(call).forEach(builder::setHeader);
         return builder.build();
     }
 
     private static ServiceAnswer answer(HttpResponse<byte[]> response) {
         Map<String, String> headers = new HashMap<>();
         response.headers().map().forEach((name, values) -> {
-            if (passed(name) && !name.startsWith(":")) {
+            if (isForwarded(name) && !name.startsWith(":")) {
                 headers.put(name, String.join(", ", values));
             }
         });
--- a/daemon/src/main/java/org/quetzalseam/daemon/service/SingleUseClient.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/service/SingleUseClient.java
@@ -86,7 +86,7 @@
      */
     CompletableFuture<ServiceAnswer> call(Call call) {
         long limit = Math.max(1, call.timeoutMillis());
-        Pending pending = new Pending(request(call));
+        PendingCall pending = new PendingCall(request(call));
         // HttpCore keeps the limit given here as the limit of the connection's silence.
         Future<AsyncClientEndpoint> unused = requester.connect(host, Timeout.ofMilliseconds(limit), null, pending);
         return pending.answer(limit);
@@ -95,7 +95,7 @@
     private AsyncRequestProducer request(Call call) {
         AsyncRequestBuilder builder =
                 AsyncRequestBuilder.create(call.method()).setHttpHost(host).setPath(call.path());
-        HttpServiceClient.passedHeaders(call).forEach(builder::setHeader);
+        HttpServiceClient.forwardedHeaders(call).forEach(builder::setHeader);
         builder.setHeader("Connection", "close");
         if (call.body().length > 0) {
             builder.setEntity(AsyncEntityProducers.create(call.body(), null));
@@ -104,14 +104,14 @@
     }
 
     /** One call, from its connection to its answer. */
-    private static final class Pending implements FutureCallback<AsyncClientEndpoint> {
+    private static final class PendingCall implements FutureCallback<AsyncClientEndpoint> {
         private final AsyncRequestProducer request;
         /** Whichever completes it first decides whether the call is sent: the connection, or the end of the wait for it. */
         private final CompletableFuture<AsyncClientEndpoint> connecting = new CompletableFuture<>();
 
         private final CompletableFuture<ServiceAnswer> answer = new CompletableFuture<>();
 
-        Pending(AsyncRequestProducer request) {
+        PendingCall(AsyncRequestProducer request) {
             this.request = request;
         }
 
@@ -121,7 +121,7 @@
                     .orTimeout(HttpClients.CONNECT_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                     .handle((connection, failure) -> {
                         if (failure != null) {
-                            notConnected(failure);
+                            failNotConnected(failure);
                         }
                         return null;
                     });
@@ -134,7 +134,7 @@
             });
         }
 
-        private void notConnected(Throwable failure) {
+        private void failNotConnected(Throwable failure) {
             boolean late = failure instanceof TimeoutException;
             String reason = late
                     ? "no connection within " + HttpClients.CONNECT_TIMEOUT.toMillis() + " ms"
@@ -171,7 +171,7 @@
         private final class Exchange implements FutureCallback<Message<HttpResponse, byte[]>> {
             @Override
             public void completed(Message<HttpResponse, byte[]> response) {
-                answer.complete(read(response));
+                answer.complete(toAnswer(response));
             }
 
             @Override
@@ -186,10 +186,10 @@
         }
     }
 
-    private static ServiceAnswer read(Message<HttpResponse, byte[]> response) {
+    private static ServiceAnswer toAnswer(Message<HttpResponse, byte[]> response) {
         Map<String, String> headers = new HashMap<>();
         for (Header header : response.getHead().getHeaders()) {
-            if (HttpServiceClient.passed(header.getName())) {
+            if (HttpServiceClient.isForwarded(header.getName())) {
                 headers.merge(
                         header.getName().toLowerCase(Locale.ROOT),
                         header.getValue(),
--- a/daemon/src/test/java/org/quetzalseam/daemon/service/HttpServiceClientTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/service/HttpServiceClientTest.java
@@ -75,7 +75,7 @@
      * may have run, so a call that must not run twice takes a connection that no call has used before.
      */
     @Test
-    void aCallThatMayNotBeRepeatedTakesAConnectionOfItsOwnThoughTheLastOneIsLeftOpen() {
+    void aCallThatMayNotBeRepeatedUsesAConnectionOfItsOwnThoughTheLastOneIsLeftOpen() {
         for (int i = 0; i < CALLS; i++) {
             assertThat(send(call("POST", "{}", false, TIMEOUT_MILLIS)).status()).isEqualTo(200);
         }
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aRedirectIsPassedOnAndNotFollowed() {
+    void aRedirectIsForwardedAndNotFollowed() {
         serve((request, connection) -> connection.reply(307, "", "Location: /elsewhere"));
         ServiceAnswer answer = send(call("POST", "{}", false, TIMEOUT_MILLIS));
         assertThat(answer.status()).isEqualTo(307);
