--- a/core/src/main/java/org/quetzalseam/core/admission/FairQueue.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/FairQueue.java
@@ -13,18 +13,21 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * Start-time fair queueing among owners inside each class; short before long, with a bounded run of short work so that
- * long work is never starved; first in, first out within one owner and class.
+ * Schedules owners by start-time fair queueing within each class. Short work goes before long work, but only a limited
+ * number of short attempts in a row, so that long work is never starved. Attempts of one owner and class are served in
+ * order of arrival.
  */
 final class FairQueue implements WorkQueue {
-    /** After this many short attempts in a row a waiting long one goes first. */
+    /** Number of short attempts in a row after which a waiting long attempt goes first. */
     static final int MAX_CONSECUTIVE_SHORT = 16;
 
+    /** Waiting attempts of one owner in one class. */
     private static final class OwnerQueue {
         final Deque<QueuedAttempt> attempts = new ArrayDeque<>();
         double virtualStart;
     }
 
+    /** Owner queues of one class, with the virtual time they share. */
     private static final class ClassQueue {
         final Map<String, OwnerQueue> ownerQueues = new HashMap<>();
         double virtualTime;
@@ -43,24 +46,24 @@
     }
 
     private ClassQueue classQueue(WorkClass workClass) {
-        ClassQueue lane = classQueues.get(workClass);
-        if (lane == null) {
-            throw new IllegalStateException("no lane for class " + workClass);
+        ClassQueue classQueue = classQueues.get(workClass);
+        if (classQueue == null) {
+            throw new IllegalStateException("no queue for class " + workClass);
         }
-        return lane;
+        return classQueue;
     }
 
     @Override
-    public void add(QueuedAttempt ticket) {
-        ClassQueue lane = classQueue(ticket.workClass());
-        OwnerQueue line = lane.ownerQueues.computeIfAbsent(ticket.owner(), unused -> new OwnerQueue());
-        if (line.attempts.isEmpty()) {
-            line.virtualStart = Math.max(line.virtualStart, lane.virtualTime);
+    public void add(QueuedAttempt attempt) {
+        ClassQueue classQueue = classQueue(attempt.workClass());
+        OwnerQueue ownerQueue = classQueue.ownerQueues.computeIfAbsent(attempt.owner(), unused -> new OwnerQueue());
+        if (ownerQueue.attempts.isEmpty()) {
+            ownerQueue.virtualStart = Math.max(ownerQueue.virtualStart, classQueue.virtualTime);
         }
-        line.attempts.addLast(ticket);
-        lane.cost += ticket.cost();
+        ownerQueue.attempts.addLast(attempt);
+        classQueue.cost += attempt.cost();
         size++;
-        waitingByEntry.merge(ticket.entry(), 1, Integer::sum);
+        waitingByEntry.merge(attempt.entry(), 1, Integer::sum);
     }
 
     @Override
@@ -72,70 +75,75 @@
         if (next.isEmpty()) {
             next = pollClass(second, startable);
         }
-        next.ifPresent(ticket -> consecutiveShort = ticket.workClass() == WorkClass.SHORT ? consecutiveShort + 1 : 0);
+        next.ifPresent(attempt -> consecutiveShort = attempt.workClass() == WorkClass.SHORT ? consecutiveShort + 1 : 0);
         return next;
     }
 
     private Optional<QueuedAttempt> pollClass(WorkClass workClass, Predicate<QueuedAttempt> startable) {
-        ClassQueue lane = classQueue(workClass);
+        ClassQueue classQueue = classQueue(workClass);
         OwnerQueue best = null;
-        for (OwnerQueue line : lane.ownerQueues.values()) {
-            QueuedAttempt head = line.attempts.peekFirst();
-            if (head == null || !startable.test(head)) {
+        for (OwnerQueue ownerQueue : classQueue.ownerQueues.values()) {
+            QueuedAttempt first = ownerQueue.attempts.peekFirst();
+            if (first == null || !startable.test(first)) {
                 continue;
             }
-            if (best == null || line.virtualStart < best.virtualStart) {
-                best = line;
+            if (best == null || ownerQueue.virtualStart < best.virtualStart) {
+                best = ownerQueue;
             }
         }
         if (best == null) {
             return Optional.empty();
         }
-        QueuedAttempt ticket = best.attempts.removeFirst();
-        lane.virtualTime = Math.max(lane.virtualTime, best.virtualStart);
-        best.virtualStart += (double) ticket.cost() / ticket.weight();
-        updateAfterRemoval(lane, ticket);
-        return Optional.of(ticket);
+        QueuedAttempt attempt = best.attempts.removeFirst();
+        classQueue.virtualTime = Math.max(classQueue.virtualTime, best.virtualStart);
+        best.virtualStart += (double) attempt.cost() / attempt.weight();
+        updateAfterRemoval(classQueue, attempt);
+        return Optional.of(attempt);
     }
 
-    private void updateAfterRemoval(ClassQueue lane, QueuedAttempt ticket) {
-        lane.cost -= ticket.cost();
+    /** Updates the counters, and drops owner queues that are empty and not ahead of the virtual time of their class. */
+    private void updateAfterRemoval(ClassQueue classQueue, QueuedAttempt attempt) {
+        classQueue.cost -= attempt.cost();
         size--;
-        waitingByEntry.merge(ticket.entry(), -1, FairQueue::sumOrNullIfZero);
-        lane.ownerQueues.values().removeIf(line -> line.attempts.isEmpty() && line.virtualStart <= lane.virtualTime);
+        waitingByEntry.merge(attempt.entry(), -1, FairQueue::sumOrNullIfZero);
+        classQueue
+                .ownerQueues
+                .values()
+                .removeIf(ownerQueue ->
+                        ownerQueue.attempts.isEmpty() && ownerQueue.virtualStart <= classQueue.virtualTime);
     }
 
     private static @Nullable Integer sumOrNullIfZero(int count, int change) {
         return count + change == 0 ? null : count + change;
     }
 
-    private List<QueuedAttempt> removeMatching(Predicate<QueuedAttempt> wanted) {
-        List<QueuedAttempt> taken = new ArrayList<>();
-        for (ClassQueue lane : classQueues.values()) {
-            List<QueuedAttempt> fromLane = new ArrayList<>();
-            for (OwnerQueue line : lane.ownerQueues.values()) {
-                line.attempts.stream().filter(wanted).forEach(fromLane::add);
-                line.attempts.removeIf(wanted);
+    private List<QueuedAttempt> removeMatching(Predicate<QueuedAttempt> condition) {
+        List<QueuedAttempt> removed = new ArrayList<>();
+        for (ClassQueue classQueue : classQueues.values()) {
+            List<QueuedAttempt> fromClass = new ArrayList<>();
+            for (OwnerQueue ownerQueue : classQueue.ownerQueues.values()) {
+                ownerQueue.attempts.stream().filter(condition).forEach(fromClass::add);
+                ownerQueue.attempts.removeIf(condition);
             }
-            fromLane.forEach(ticket -> updateAfterRemoval(lane, ticket));
-            taken.addAll(fromLane);
+            fromClass.forEach(attempt -> updateAfterRemoval(classQueue, attempt));
+            removed.addAll(fromClass);
         }
-        return taken;
+        return removed;
     }
 
     @Override
     public boolean remove(AttemptId id) {
-        return !removeMatching(ticket -> ticket.id().equals(id)).isEmpty();
+        return !removeMatching(attempt -> attempt.id().equals(id)).isEmpty();
     }
 
     @Override
     public List<QueuedAttempt> expire(long now) {
-        return removeMatching(ticket -> ticket.deadlineNanos() - now < 0);
+        return removeMatching(attempt -> attempt.deadlineNanos() - now < 0);
     }
 
     @Override
     public List<QueuedAttempt> drain() {
-        return removeMatching(ticket -> true);
+        return removeMatching(attempt -> true);
     }
 
     @Override
--- a/core/src/main/java/org/quetzalseam/core/admission/FifoQueue.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/FifoQueue.java
@@ -8,19 +8,21 @@
 import java.util.function.Predicate;
 import org.quetzalseam.core.attempt.AttemptId;
 
-/** One line in order of arrival for all owners and classes. A head that can't start holds up all behind it. */
+/**
+ * Serves all owners and classes in order of arrival. A first attempt that cannot start blocks all attempts behind it.
+ */
 final class FifoQueue implements WorkQueue {
     private final Deque<QueuedAttempt> attempts = new ArrayDeque<>();
 
     @Override
-    public void add(QueuedAttempt ticket) {
-        attempts.addLast(ticket);
+    public void add(QueuedAttempt attempt) {
+        attempts.addLast(attempt);
     }
 
     @Override
     public Optional<QueuedAttempt> poll(Predicate<QueuedAttempt> startable) {
-        QueuedAttempt head = attempts.peekFirst();
-        if (head == null || !startable.test(head)) {
+        QueuedAttempt first = attempts.peekFirst();
+        if (first == null || !startable.test(first)) {
             return Optional.empty();
         }
         return Optional.of(attempts.removeFirst());
@@ -28,13 +30,13 @@
 
     @Override
     public boolean remove(AttemptId id) {
-        return attempts.removeIf(ticket -> ticket.id().equals(id));
+        return attempts.removeIf(attempt -> attempt.id().equals(id));
     }
 
     @Override
     public List<QueuedAttempt> expire(long now) {
         List<QueuedAttempt> expired = new ArrayList<>(attempts.stream()
-                .filter(ticket -> ticket.deadlineNanos() - now < 0)
+                .filter(attempt -> attempt.deadlineNanos() - now < 0)
                 .toList());
         attempts.removeAll(expired);
         return expired;
@@ -49,8 +51,9 @@
 
     @Override
     public int waiting(String entry) {
-        return (int)
-                attempts.stream().filter(ticket -> ticket.entry().equals(entry)).count();
+        return (int) attempts.stream()
+                .filter(attempt -> attempt.entry().equals(entry))
+                .count();
     }
 
     @Override
--- a/core/src/main/java/org/quetzalseam/core/admission/QueuedAttempt.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/QueuedAttempt.java
@@ -3,15 +3,15 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * What a queue needs to know of one waiting attempt. Immutable.
+ * A waiting attempt with the properties that decide when a queue serves it. Immutable.
  *
  * @param id the attempt
- * @param owner the owner whose share it uses
- * @param entry the catalogue entry whose queue length it counts against
+ * @param owner the owner whose share of the queue it uses
+ * @param entry the catalogue entry whose queue-length limit it counts against
  * @param workClass the class of work
  * @param weight the owner's weight, positive
  * @param cost size of the work in any unit that is the same throughout one queue, such as tokens
- * @param deadlineNanos time after which it must not be started any more, in nanoseconds of the endpoint's monotonic clock
+ * @param deadlineNanos time after which it must not be started, in nanoseconds of the endpoint's monotonic clock
  */
 public record QueuedAttempt(
         AttemptId id, String owner, String entry, WorkClass workClass, int weight, long cost, long deadlineNanos) {
--- a/core/src/main/java/org/quetzalseam/core/admission/SlotLedger.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/SlotLedger.java
@@ -5,11 +5,11 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * The places of one engine's memory, and which attempt holds each. A place is taken by {@link #book} and given back by
- * {@link #releaseBooking}; both act once for each attempt however often they are called, so that a cancellation and an end that
- * cross can't free a place twice.
+ * Records which attempts hold the memory slots of one engine. {@link #book} takes a slot and {@link #release} returns
+ * it. Both take effect once per attempt however often they are called, so that a cancellation that coincides with the
+ * end of an attempt cannot free a slot twice.
  *
- * <p>Not thread-safe: the gate that owns the ledger guards it.
+ * <p>Not thread-safe: the owner of the ledger synchronizes access.
  */
 public final class SlotLedger {
     private final int capacity;
@@ -18,10 +18,10 @@
     private int longHeld;
 
     /**
-     * Creates a ledger with all places free.
+     * Creates a ledger with all slots free.
      *
-     * @param capacity number of places
-     * @param shortReserve places that long work can't take, less than the capacity
+     * @param capacity number of slots
+     * @param shortReserve slots that long work cannot use, less than the capacity
      */
     public SlotLedger(int capacity, int shortReserve) {
         if (capacity < 1 || shortReserve < 0 || shortReserve >= capacity) {
@@ -36,18 +36,18 @@
      * Returns whether an attempt of this class could be booked now.
      *
      * @param workClass the class of work
-     * @param extra places that may be booked beyond those that there are
+     * @param extraSlots slots that may be booked beyond the capacity
      */
-    public boolean isAvailable(WorkClass workClass, int extra) {
-        if (held.size() >= capacity + extra) {
+    public boolean isAvailable(WorkClass workClass, int extraSlots) {
+        if (held.size() >= capacity + extraSlots) {
             return false;
         }
-        return workClass == WorkClass.SHORT || longHeld < capacity + extra - shortReserve;
+        return workClass == WorkClass.SHORT || longHeld < capacity + extraSlots - shortReserve;
     }
 
-    /** Takes a place. Returns false when there is none for this class, or when the attempt holds one already. */
-    public boolean book(AttemptId id, WorkClass workClass, int extra) {
-        if (held.containsKey(id) || !isAvailable(workClass, extra)) {
+    /** Books a slot. Returns false when none is available to this class, or when the attempt already holds one. */
+    public boolean book(AttemptId id, WorkClass workClass, int extraSlots) {
+        if (held.containsKey(id) || !isAvailable(workClass, extraSlots)) {
             return false;
         }
         held.put(id, workClass);
@@ -55,7 +55,7 @@
         return true;
     }
 
-    /** Gives a place back. Returns false when the attempt holds none. */
+    /** Releases the slot of an attempt. Returns false when the attempt holds none. */
     public boolean release(AttemptId id) {
         WorkClass workClass = held.remove(id);
         if (workClass == null) {
@@ -65,12 +65,12 @@
         return true;
     }
 
-    /** Returns how many places are free; 0 also when more are booked than there are. */
+    /** Returns the number of free slots; also 0 when more are booked than the capacity. */
     public int free() {
         return Math.max(0, capacity - held.size());
     }
 
-    /** Returns the number of places. */
+    /** Returns the number of slots, without those booked ahead. */
     public int capacity() {
         return capacity;
     }
--- a/core/src/main/java/org/quetzalseam/core/admission/WorkClass.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/WorkClass.java
@@ -1,10 +1,10 @@
 package org.quetzalseam.core.admission;
 
-/** The class of work that a catalogue entry names. Short work is never made to wait behind long work. */
+/** Class of work that a catalogue entry sets. Queues serve short work ahead of long work. */
 public enum WorkClass {
-    /** Lookups, checks and receipts: someone waits for them at a desk. */
+    /** Interactive work, such as lookups, checks and receipts, that a person waits for. */
     SHORT,
-    /** Documents and chapters: callers wait for them patiently, but none may be lost. */
+    /** Work such as documents and chapters, whose callers accept a long wait but no loss. */
     LONG;
 
     /** Returns the name used in the catalogue, logs and metrics. */
--- a/core/src/main/java/org/quetzalseam/core/admission/WorkQueue.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/WorkQueue.java
@@ -6,7 +6,8 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * Order in which waiting attempts are served. Implementations are not thread-safe: the gate that owns a queue guards it.
+ * Waiting attempts in the order in which they are served. Implementations are not thread-safe: the owner of a queue
+ * synchronizes access.
  */
 public interface WorkQueue {
     /** Returns a queue that is fair among owners and keeps short work ahead of long work. */
@@ -14,32 +15,32 @@
         return new FairQueue();
     }
 
-    /** Returns a queue in order of arrival, the baseline that the fair queue is measured against. */
+    /** Returns a queue in order of arrival, the baseline for measurements of the fair queue. */
     static WorkQueue fifo() {
         return new FifoQueue();
     }
 
-    /** Adds an attempt at the end of its line. */
-    void add(QueuedAttempt ticket);
+    /** Appends an attempt to the queue of its owner and class, or to the single queue of the baseline. */
+    void add(QueuedAttempt attempt);
 
     /** Removes and returns the next attempt that the predicate accepts. */
     Optional<QueuedAttempt> poll(Predicate<QueuedAttempt> startable);
 
-    /** Removes one attempt. Returns false when it does not wait here. */
+    /** Removes one attempt. Returns false when it is not in this queue. */
     boolean remove(AttemptId id);
 
-    /** Removes and returns the attempts whose wait is over at {@code now}. */
+    /** Removes and returns the attempts whose deadline is before {@code now}, in monotonic nanoseconds. */
     List<QueuedAttempt> expire(long now);
 
-    /** Removes and returns everything, in no particular order. */
+    /** Removes and returns all attempts, in no particular order. */
     List<QueuedAttempt> drain();
 
-    /** Returns how many attempts of one catalogue entry wait here. */
+    /** Returns the number of waiting attempts of one catalogue entry. */
     int waiting(String entry);
 
-    /** Returns the summed cost of what would be served before a new attempt of this class. */
+    /** Returns the total cost of the attempts that would be served before a new attempt of this class. */
     long costAhead(WorkClass workClass);
 
-    /** Returns how many attempts wait here. */
+    /** Returns the number of waiting attempts. */
     int size();
 }
--- a/core/src/main/java/org/quetzalseam/core/admission/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/package-info.java
@@ -1,4 +1,4 @@
-/** Queues, engine memory slots and the policies that decide which waiting work runs next. */
+/** Queues of waiting attempts, slots of engine memory, and the policy for booking slots ahead. */
 @NullMarked
 package org.quetzalseam.core.admission;
 
--- a/core/src/main/java/org/quetzalseam/core/attempt/AttemptId.java
+++ b/core/src/main/java/org/quetzalseam/core/attempt/AttemptId.java
@@ -1,10 +1,10 @@
 package org.quetzalseam.core.attempt;
 
 /**
- * Names one attempt at one request. Immutable.
+ * Identifies one attempt at one request. Immutable.
  *
- * <p>Two attempts never share an id: {@code entry} is the random incarnation of the entry process, so a restarted entry
- * can't reuse an id, and an answer that arrives late matches only the attempt it belongs to.
+ * <p>Two attempts never share an id: {@code entry} is the random incarnation of the entry process, so that a restarted
+ * entry cannot reuse an id, and a late answer matches only the attempt that it belongs to.
  *
  * @param entry incarnation of the entry process that holds the caller's connection
  * @param request counter of the request within that incarnation
@@ -23,7 +23,7 @@
         return new AttemptId(entry, request, number + 1);
     }
 
-    /** Returns the request's id as callers see it, without the attempt number. */
+    /** Returns the id of the request as callers see it, without the attempt number. */
     public String requestId() {
         return Long.toHexString(entry) + "-" + request;
     }
--- a/core/src/main/java/org/quetzalseam/core/attempt/AttemptTable.java
+++ b/core/src/main/java/org/quetzalseam/core/attempt/AttemptTable.java
@@ -8,15 +8,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The attempts that one endpoint process knows, and the only place where an attempt may change from waiting to started.
+ * Tracks the attempts of one endpoint process. Only this table changes an attempt from waiting to started.
  *
- * <p>An attempt is {@code WAITING} until {@link #start}, then {@code STARTED} until {@link #finish}. {@link #seal} of an
- * attempt that has not started, known or not, leaves a tombstone: a later {@link #offer} or {@link #start} is refused.
- * Each attempt is held under a lease that its entry renews; {@link #expireLeases} returns the ones whose lease has run out.
+ * <p>An attempt is {@code WAITING} until {@link #start}, then {@code STARTED} until {@link #finish}. {@link #seal} of
+ * an attempt that has not started, known or not, leaves a tombstone: a later {@link #offer} or {@link #start} is
+ * refused. The entry process renews the lease of each of its attempts; {@link #expireLeases} returns those whose lease
+ * has expired.
  *
- * <p>Thread-safe: records are spread over shards, each under its own lock. Times are nanoseconds of one monotonic clock.
+ * <p>Thread-safe: attempts are spread over shards, each with its own lock. Times are nanoseconds of one monotonic
+ * clock.
  *
- * @param <W> the work that belongs to an attempt, handed back for cancellation and resumption
+ * @param <W> the work of an attempt, returned for cancellation and resumption
  */
 public final class AttemptTable<W> {
     private static final int SHARDS = 16;
@@ -56,8 +58,8 @@
     /**
      * Creates an empty table.
      *
-     * @param leaseNanos how long an attempt lives without renewal
-     * @param retentionNanos how long ended attempts and tombstones are remembered
+     * @param leaseNanos duration of a lease, after which an attempt that was not renewed ends
+     * @param retentionNanos how long ended attempts and tombstones are retained, at least {@code leaseNanos}
      */
     public AttemptTable(long leaseNanos, long retentionNanos) {
         if (leaseNanos <= 0 || retentionNanos < leaseNanos) {
@@ -75,7 +77,7 @@
         return shards.get(Math.floorMod(id.hashCode(), SHARDS));
     }
 
-    /** Takes in a new attempt. Returns false, and changes nothing, when the attempt is known or sealed. */
+    /** Adds a new waiting attempt. Returns false, and changes nothing, when the attempt is known or sealed. */
     public boolean offer(AttemptId id, W work, long now) {
         Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
@@ -88,48 +90,48 @@
     }
 
     /**
-     * Starts a waiting attempt. Returns false when it is sealed, unknown, already started, or its lease has run out: the
-     * caller must then not run it.
+     * Starts a waiting attempt. Returns false when it is sealed, unknown, already started, or its lease has expired:
+     * the caller must then not run it.
      */
     public boolean start(AttemptId id, long now) {
         Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
-            TrackedAttempt<W> entry = shard.get(id);
-            if (entry == null || entry.state != State.WAITING || entry.leaseEndNanos - now < 0) {
+            TrackedAttempt<W> attempt = shard.get(id);
+            if (attempt == null || attempt.state != State.WAITING || attempt.leaseEndNanos - now < 0) {
                 return false;
             }
-            entry.state = State.STARTED;
-            entry.changedAtNanos = now;
+            attempt.state = State.STARTED;
+            attempt.changedAtNanos = now;
             return true;
         }
     }
 
-    /** Notes that a started attempt has ended. Its work stays readable until the retention is over. */
+    /** Marks a started attempt as ended. Its work stays available until the end of the retention time. */
     public void finish(AttemptId id, long now) {
         Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
-            TrackedAttempt<W> entry = shard.get(id);
-            if (entry != null && entry.state == State.STARTED) {
-                entry.state = State.FINISHED;
-                entry.changedAtNanos = now;
+            TrackedAttempt<W> attempt = shard.get(id);
+            if (attempt != null && attempt.state == State.STARTED) {
+                attempt.state = State.FINISHED;
+                attempt.changedAtNanos = now;
             }
         }
     }
 
-    /** Makes sure that an attempt which has not started never will, and says what is known of it. */
+    /** Prevents an attempt that has not started from ever starting, and returns its state. */
     public SealResult seal(AttemptId id, long now) {
         Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
-            TrackedAttempt<W> entry =
+            TrackedAttempt<W> attempt =
                     shard.computeIfAbsent(id, unused -> new TrackedAttempt<>(State.SEALED, null, now, now));
-            if (entry.state == State.STARTED) {
+            if (attempt.state == State.STARTED) {
                 return SealResult.STARTED;
             }
-            if (entry.state == State.FINISHED) {
+            if (attempt.state == State.FINISHED) {
                 return SealResult.FINISHED;
             }
-            entry.state = State.SEALED;
-            entry.changedAtNanos = now;
+            attempt.state = State.SEALED;
+            attempt.changedAtNanos = now;
             return SealResult.BEFORE_START;
         }
     }
@@ -138,71 +140,71 @@
     public @Nullable W work(AttemptId id) {
         Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
-            TrackedAttempt<W> entry = shard.get(id);
-            return entry == null ? null : entry.work;
+            TrackedAttempt<W> attempt = shard.get(id);
+            return attempt == null ? null : attempt.work;
         }
     }
 
-    /** Extends the leases of attempts that their entry still holds. */
+    /** Renews the leases of the given attempts, unless they have ended. */
     public void renew(Iterable<AttemptId> ids, long now) {
         for (AttemptId id : ids) {
             Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
             synchronized (shard) {
-                TrackedAttempt<W> entry = shard.get(id);
-                if (entry != null && entry.isLive()) {
-                    entry.leaseEndNanos = now + leaseNanos;
+                TrackedAttempt<W> attempt = shard.get(id);
+                if (attempt != null && attempt.isLive()) {
+                    attempt.leaseEndNanos = now + leaseNanos;
                 }
             }
         }
     }
 
-    /** Extends all leases, after this process itself was paused and could not hear of any renewal. */
+    /** Renews all leases, for use after a pause of this process in which it could not receive renewals. */
     public void renewAll(long now) {
         for (Map<AttemptId, TrackedAttempt<W>> shard : shards) {
             synchronized (shard) {
                 shard.values().stream()
                         .filter(TrackedAttempt::isLive)
-                        .forEach(entry -> entry.leaseEndNanos = now + leaseNanos);
+                        .forEach(attempt -> attempt.leaseEndNanos = now + leaseNanos);
             }
         }
     }
 
-    /** Returns how long a lease lasts, in nanoseconds. */
+    /** Returns the duration of a lease, in nanoseconds. */
     public long leaseNanos() {
         return leaseNanos;
     }
 
     /**
-     * Returns the work of waiting and started attempts whose lease has run out. Waiting ones are sealed by this call;
-     * started ones must be cancelled by the caller. Each is returned once.
+     * Ends the waiting and started attempts whose lease has expired, and returns their work. Waiting ones are sealed by
+     * this call; the caller must cancel started ones. Each is returned once.
      */
     public List<W> expireLeases(long now) {
-        List<W> lapsed = new ArrayList<>();
+        List<W> expired = new ArrayList<>();
         for (Map<AttemptId, TrackedAttempt<W>> shard : shards) {
             synchronized (shard) {
-                for (TrackedAttempt<W> entry : shard.values()) {
-                    W work = entry.work;
-                    if (!entry.isLive() || entry.leaseEndNanos - now >= 0 || work == null) {
+                for (TrackedAttempt<W> attempt : shard.values()) {
+                    W work = attempt.work;
+                    if (!attempt.isLive() || attempt.leaseEndNanos - now >= 0 || work == null) {
                         continue;
                     }
-                    entry.state = entry.state == State.WAITING ? State.SEALED : State.FINISHED;
-                    entry.changedAtNanos = now;
-                    lapsed.add(work);
+                    attempt.state = attempt.state == State.WAITING ? State.SEALED : State.FINISHED;
+                    attempt.changedAtNanos = now;
+                    expired.add(work);
                 }
             }
         }
-        return lapsed;
+        return expired;
     }
 
-    /** Forgets ended attempts and tombstones older than the retention. Returns how many were dropped. */
+    /** Removes ended attempts and tombstones older than the retention time. Returns how many were removed. */
     public int purge(long now) {
         int dropped = 0;
         for (Map<AttemptId, TrackedAttempt<W>> shard : shards) {
             synchronized (shard) {
                 Iterator<TrackedAttempt<W>> entries = shard.values().iterator();
                 while (entries.hasNext()) {
-                    TrackedAttempt<W> entry = entries.next();
-                    if (!entry.isLive() && now - entry.changedAtNanos > retentionNanos) {
+                    TrackedAttempt<W> attempt = entries.next();
+                    if (!attempt.isLive() && now - attempt.changedAtNanos > retentionNanos) {
                         entries.remove();
                         dropped++;
                     }
@@ -212,13 +214,13 @@
         return dropped;
     }
 
-    /** Returns how many attempts wait or run. */
+    /** Returns the number of attempts that are waiting or started. */
     public int liveCount() {
         int live = 0;
         for (Map<AttemptId, TrackedAttempt<W>> shard : shards) {
             synchronized (shard) {
-                for (TrackedAttempt<W> entry : shard.values()) {
-                    live += entry.isLive() ? 1 : 0;
+                for (TrackedAttempt<W> attempt : shard.values()) {
+                    live += attempt.isLive() ? 1 : 0;
                 }
             }
         }
--- a/core/src/main/java/org/quetzalseam/core/attempt/Outcome.java
+++ b/core/src/main/java/org/quetzalseam/core/attempt/Outcome.java
@@ -1,14 +1,14 @@
 package org.quetzalseam.core.attempt;
 
-/** What is known of an attempt, or of a request, once it has ended. */
+/** Known outcome of an ended attempt or request. */
 public enum Outcome {
-    /** The whole answer was delivered. */
+    /** The complete answer was delivered. */
     ANSWERED("answered"),
-    /** It is proved that no endpoint has run it or ever will. */
+    /** Proven: no endpoint has run it or will run it. */
     NOT_RUN("not-run"),
-    /** It ran, and none or only a part of the answer was delivered. */
+    /** It ran, and none or only part of the answer was delivered. */
     INCOMPLETE("incomplete"),
-    /** Nothing can be proved: it may have run. */
+    /** Nothing is proven: it may have run. */
     UNKNOWN("unknown");
 
     private final String label;
@@ -17,7 +17,7 @@
         this.label = label;
     }
 
-    /** Returns the name used in callers' error bodies, logs and metrics. */
+    /** Returns the name used in error bodies sent to callers, in logs and in metrics. */
     public String label() {
         return label;
     }
--- a/core/src/main/java/org/quetzalseam/core/attempt/SealResult.java
+++ b/core/src/main/java/org/quetzalseam/core/attempt/SealResult.java
@@ -1,10 +1,10 @@
 package org.quetzalseam.core.attempt;
 
-/** An endpoint's answer to a request to seal an attempt. */
+/** State of an attempt that an endpoint reports when it is asked to seal the attempt. */
 public enum SealResult {
-    /** The attempt had not started and, from now on, can't. */
+    /** The attempt had not started and can no longer start. */
     BEFORE_START,
-    /** The attempt has started and still runs. */
+    /** The attempt has started and is still running. */
     STARTED,
     /** The attempt has started and has ended. */
     FINISHED
--- a/core/src/main/java/org/quetzalseam/core/attempt/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/attempt/package-info.java
@@ -1,4 +1,4 @@
-/** Identity and life of one attempt at a request, and what may be said of it afterwards. */
+/** Identity, lifecycle and outcome of an attempt at a request. */
 @NullMarked
 package org.quetzalseam.core.attempt;
 
--- a/core/src/main/java/org/quetzalseam/core/catalogue/Catalogue.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/Catalogue.java
@@ -7,7 +7,7 @@
 import org.quetzalseam.core.catalogue.Route.Kind;
 
 /**
- * A complete, checked catalogue. Immutable. {@link CatalogueParser} makes one from an operator's files.
+ * A complete, validated catalogue. Immutable. {@link CatalogueParser} creates it from the files of an operator.
  *
  * @param owners owners by name
  * @param models models by name
@@ -27,14 +27,15 @@
         entries = Map.copyOf(entries);
     }
 
-    /** Returns a catalogue without any entries: what a process runs until it has read an accepted one. */
+    /** Returns a catalogue without entries, which a process uses until it has read an accepted one. */
     public static Catalogue empty() {
         return new Catalogue(Map.of(), Map.of(), Map.of(), Map.of());
     }
 
     /**
-     * Returns the owner's entry for a model that fits a prompt: of those whose longest prompt is enough, the one with the
-     * smallest; when none is enough, the one with the largest, so that the refusal can name its limit.
+     * Returns the owner's entry for a model and a prompt length: among the entries whose prompt limit is large enough,
+     * the one with the smallest limit; if there is none, the one with the largest, so that the refusal can name its
+     * limit.
      */
     public Optional<EntrySpec> modelEntry(String owner, String model, int promptTokens) {
         List<EntrySpec> own = entries.values().stream()
@@ -61,7 +62,7 @@
                 .min(Comparator.comparing(EntrySpec::name));
     }
 
-    /** Returns the owner to whom a token belongs, by the token's SHA-256 digest. */
+    /** Returns the owner of a token, given the SHA-256 digest of the token. */
     public Optional<OwnerSpec> ownerOf(String tokenDigest) {
         return owners.values().stream()
                 .filter(owner -> owner.tokenDigests().stream().anyMatch(digest -> sameDigest(digest, tokenDigest)))
--- a/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueInForce.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueInForce.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The accepted catalogue that one process runs. Its version only rises: an older one is never taken, whoever offers it.
- * Thread-safe.
+ * Holds the accepted catalogue that this process uses. Its version only increases: an older catalogue is never
+ * accepted, whichever process offers it. Thread-safe.
  */
 public final class CatalogueInForce {
     /**
-     * An accepted catalogue with all its texts, as it is passed on to other processes. Immutable.
+     * An accepted catalogue with the texts of all its files, as forwarded to other processes. Immutable.
      *
      * @param manifest the manifest
      * @param files texts by file name
-     * @param catalogue what the texts say
+     * @param catalogue the catalogue parsed from the texts
      */
     public record Accepted(Manifest manifest, Map<String, String> files, Catalogue catalogue) {
         /** Copies the map. */
@@ -24,8 +24,9 @@
     }
 
     /**
-     * How old the store's word on the newest version may be for this to be known to be it, in nanoseconds: a change must be in force
-     * everywhere within 14 seconds, also for a request that is on its way for some time.
+     * Greatest age of a confirmation by the store at which this catalogue still counts as the newest, in nanoseconds.
+     * It is less than 14 seconds, within which a change must be in force everywhere, because a request may also be in
+     * transit for some time.
      */
     private static final long MAX_CONFIRMATION_AGE_NANOS = TimeUnit.SECONDS.toNanos(12);
 
@@ -33,7 +34,7 @@
     private boolean everConfirmed;
     private long confirmedAtNanos;
 
-    /** Returns what is in force. */
+    /** Returns the catalogue in force; an empty one when none has been read yet. */
     public Accepted current() {
         return current;
     }
@@ -43,23 +44,26 @@
         return current().manifest().version();
     }
 
-    /** Notes that what is in force was the newest at a time, in monotonic nanoseconds. */
-    public synchronized void confirm(long at) {
+    /** Records that the catalogue in force was the newest at the given time, in monotonic nanoseconds. */
+    public synchronized void confirm(long atNanos) {
         everConfirmed = true;
-        confirmedAtNanos = at;
+        confirmedAtNanos = atNanos;
     }
 
-    /** Returns whether what is in force is known to be the newest but for changes that needn't be in force yet. */
+    /**
+     * Returns whether the catalogue in force is known to be the newest, except for changes so recent that they need not
+     * be in force yet.
+     */
     public synchronized boolean isKnownCurrent(long now) {
         return everConfirmed && now - confirmedAtNanos <= MAX_CONFIRMATION_AGE_NANOS;
     }
 
-    /** Returns how long ago it was known to be the newest, in milliseconds; -1 if it never was. */
+    /** Returns the time since the catalogue was last confirmed as the newest, in milliseconds; -1 if it never was. */
     public synchronized long ageMillis(long now) {
         return everConfirmed ? TimeUnit.NANOSECONDS.toMillis(now - confirmedAtNanos) : -1;
     }
 
-    /** Puts a catalogue in force if it is newer than the current one. Returns whether it was. */
+    /** Puts a catalogue in force if it is newer than the current one. Returns whether it did so. */
     public synchronized boolean offer(Accepted candidate) {
         if (candidate.manifest().version() <= version()) {
             return false;
@@ -70,21 +74,22 @@
     }
 
     /**
-     * Waits until a catalogue has been read, for a process that is asked before that. Returns whether one is in force.
+     * Waits until the first catalogue is in force, for requests that arrive before that. Returns whether one is in
+     * force.
      *
-     * @param limit how long to wait at most
+     * @param maxWait maximum time to wait
      */
-    public synchronized boolean awaitFirst(Duration limit) {
-        long end = System.nanoTime() + limit.toNanos();
-        long left = limit.toNanos();
-        while (version() == 0 && left > 0) {
+    public synchronized boolean awaitFirst(Duration maxWait) {
+        long deadline = System.nanoTime() + maxWait.toNanos();
+        long remaining = maxWait.toNanos();
+        while (version() == 0 && remaining > 0) {
             try {
-                TimeUnit.NANOSECONDS.timedWait(this, left);
+                TimeUnit.NANOSECONDS.timedWait(this, remaining);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 break;
             }
-            left = end - System.nanoTime();
+            remaining = deadline - System.nanoTime();
         }
         return version() > 0;
     }
--- a/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueParser.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueParser.java
@@ -13,7 +13,7 @@
 import org.quetzalseam.core.ini.Problem;
 
 /**
- * Reads and checks the files of a catalogue as a whole. One parser reads one catalogue and is not thread-safe.
+ * Reads and validates all files of a catalogue together. Each instance parses one catalogue and is not thread-safe.
  *
  * <p>Example: {@code CatalogueParser.parse(Map.of("site.ini", text)).orElseThrow()}.
  */
@@ -36,10 +36,10 @@
     private CatalogueParser() {}
 
     /**
-     * The result of reading a catalogue: the catalogue, or all that is wrong with it.
+     * The result of reading a catalogue: the catalogue and all problems found.
      *
-     * @param catalogue what was read; only to be used when there are no problems
-     * @param problems everything that is wrong, in the order of the files
+     * @param catalogue the catalogue; usable only if there are no problems
+     * @param problems all problems: duplicate tokens first, then those of each file, in the order of file names
      */
     public record Parsed(Catalogue catalogue, List<Problem> problems) {
         /** Returns whether the catalogue may be used. */
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Reads the files of a catalogue, given by name. */
+    /** Parses the files of a catalogue, given as texts by file name. */
     public static Parsed parse(Map<String, String> files) {
         CatalogueParser parser = new CatalogueParser();
         files.entrySet().stream()
@@ -63,24 +63,24 @@
     private void read(IniDocument document) {
         documents.add(document);
         for (IniSection section : document.sections().values()) {
-            String[] words = section.name().split(" ", 2);
-            if (words.length < 2 || !NAME.matcher(words[1]).matches()) {
+            String[] parts = section.name().split(" ", 2);
+            if (parts.length < 2 || !NAME.matcher(parts[1]).matches()) {
                 document.report(
                         "[" + section.name() + "]", "expected a kind and a name, such as [owner harbour-office]");
                 continue;
             }
-            readSection(section, words[0], words[1]);
+            readSection(section, parts[0], parts[1]);
         }
     }
 
     private void readSection(IniSection section, String kind, String name) {
-        Object earlier;
+        Object previous;
         switch (kind) {
-            case "owner" -> earlier = owners.put(name, owner(section, name));
-            case "model" -> earlier = models.put(name, model(section, name));
-            case "service" -> earlier = services.put(name, new ServiceSpec(name, section.text("pool")));
+            case "owner" -> previous = owners.put(name, owner(section, name));
+            case "model" -> previous = models.put(name, model(section, name));
+            case "service" -> previous = services.put(name, new ServiceSpec(name, section.text("pool")));
             case "entry" -> {
-                earlier = entries.put(name, entry(section, name));
+                previous = entries.put(name, entry(section, name));
                 entrySections.put(name, section);
             }
             default -> {
@@ -88,7 +88,7 @@
                 return;
             }
         }
-        if (earlier != null) {
+        if (previous != null) {
             section.report("", "another file has a section of this name");
         }
         section.reportUnknownKeys();
@@ -137,10 +137,10 @@
     }
 
     private static Route route(IniSection section) {
-        String[] words = section.text("route").split(" +", 2);
-        String kind = words[0].toLowerCase(Locale.ROOT);
-        if (words.length == 2 && (kind.equals("model") || kind.equals("service"))) {
-            return new Route(kind.equals("model") ? Kind.MODEL : Kind.SERVICE, words[1]);
+        String[] parts = section.text("route").split(" +", 2);
+        String kind = parts[0].toLowerCase(Locale.ROOT);
+        if (parts.length == 2 && (kind.equals("model") || kind.equals("service"))) {
+            return new Route(kind.equals("model") ? Kind.MODEL : Kind.SERVICE, parts[1]);
         }
         section.report("route", "expected 'model NAME' or 'service NAME'");
         return new Route(Kind.SERVICE, "");
--- a/core/src/main/java/org/quetzalseam/core/catalogue/Manifest.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/Manifest.java
@@ -4,12 +4,13 @@
 import java.util.TreeMap;
 
 /**
- * Names the files that make up a catalogue by the digests of their texts. Immutable. The texts are stored apart, one
- * value a file, so that no value grows with the number of owners.
+ * Lists the files of a catalogue with the digests of their texts. Immutable. The texts are stored separately, one value
+ * per file, so that no value grows with the number of owners.
  *
- * @param version number of the accepted catalogue; rises by one with each change, 0 before the first
- * @param writer random number that the writer chose, by which it finds its own write again after a lost answer
- * @param author who applied it, for the operators' information
+ * @param version version of the accepted catalogue; increases by one with each change, 0 before the first
+ * @param writer random number chosen by the writer, by which it recognizes its own write when the store's reply was
+ *     lost
+ * @param author who applied the catalogue, for operators to read
  * @param files SHA-256 digests by file name
  */
 public record Manifest(long version, long writer, String author, Map<String, String> files) {
@@ -26,14 +27,14 @@
         return new Manifest(0, 0, "", Map.of());
     }
 
-    /** Returns the names of files that differ between this manifest and another, with how they differ. */
+    /** Returns the names of the files that differ between this manifest and a later one, with the kind of change. */
     public Map<String, Change> changesTo(Manifest other) {
         Map<String, Change> changes = new TreeMap<>();
         files.forEach((name, digest) -> {
-            String now = other.files().get(name);
-            if (now == null) {
+            String otherDigest = other.files().get(name);
+            if (otherDigest == null) {
                 changes.put(name, Change.REMOVED);
-            } else if (!now.equals(digest)) {
+            } else if (!otherDigest.equals(digest)) {
                 changes.put(name, Change.CHANGED);
             }
         });
@@ -43,13 +44,13 @@
         return changes;
     }
 
-    /** How a file differs between two manifests. */
+    /** Kind of difference of a file between two manifests. */
     public enum Change {
-        /** Only the later manifest has it. */
+        /** Only the later manifest has the file. */
         ADDED,
-        /** Both have it, with other texts. */
+        /** Both manifests have the file, with different texts. */
         CHANGED,
-        /** Only the earlier manifest has it. */
+        /** Only the earlier manifest has the file. */
         REMOVED
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/catalogue/Route.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/Route.java
@@ -1,13 +1,13 @@
 package org.quetzalseam.core.catalogue;
 
 /**
- * Where an entry's requests go. Immutable.
+ * The destination of the requests of a catalogue entry. Immutable.
  *
  * @param kind a model behind prefill and decode pools, or a plain service
  * @param name name of the model or service
  */
 public record Route(Kind kind, String name) {
-    /** What stands behind a route. */
+    /** Kind of destination. */
     public enum Kind {
         /** A model, served by a prefill pool and a decode pool. */
         MODEL,
--- a/core/src/main/java/org/quetzalseam/core/catalogue/Targets.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/Targets.java
@@ -3,7 +3,7 @@
 /**
  * The two latency targets of one catalogue entry. Immutable.
  *
- * @param firstOutputMillis target for the first output, in milliseconds from the request's arrival
+ * @param firstOutputMillis target for the time from the arrival of a request to its first output, in milliseconds
  * @param steadyOutputMillis target for the mean time between later outputs, in milliseconds
  */
 public record Targets(int firstOutputMillis, int steadyOutputMillis) {}
--- a/core/src/main/java/org/quetzalseam/core/catalogue/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' catalogue: its entries, its checks, its versions. */
+/** The catalogue that operators maintain: its model, parser and versions. */
 @NullMarked
 package org.quetzalseam.core.catalogue;
 
--- a/core/src/main/java/org/quetzalseam/core/fleet/EndpointHealth.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/EndpointHealth.java
@@ -1,23 +1,32 @@
 package org.quetzalseam.core.fleet;
 
 /**
- * How well an endpoint has answered lately, from its answers alone. Not thread-safe.
+ * Estimates the health of an endpoint from the results of its requests alone. Not thread-safe.
  *
- * <p>The failure rate and the time to answer are exponentially weighted; the failure rate also fades with time, so that an
- * endpoint that was left out is tried again without a probe.
+ * <p>The failure rate and the response time are exponentially weighted averages. The failure rate also decays with
+ * time, so that a suspect endpoint is used again without a probe.
  */
 public final class EndpointHealth {
-    /** Weight of the newest answer: about the last ten count. */
+    /** Weight of the newest result, so that about the last ten results count. */
     private static final double NEWEST_WEIGHT = 0.1;
-    /** Nanoseconds in which an idle endpoint's failure rate halves: two seconds, a typical restart. */
+    /** Half-life of the failure rate of an idle endpoint, in nanoseconds: 2 seconds, the time of a typical restart. */
     private static final double HALF_LIFE_NANOS = 2e9;
-    /** Assumed time of the first answer, in milliseconds; any small figure does, as it fades within ten answers. */
+    /**
+     * Response time assumed before the first answer, in milliseconds. Any small value works, because it fades within
+     * ten answers.
+     */
     private static final double INITIAL_RESPONSE_MILLIS = 10;
-    /** Failure rate from which an endpoint is used only when no better one is there: three failures at once reach it. */
+    /**
+     * Failure rate from which an endpoint is suspect, that is, used only when no better one is available. Three
+     * failures at once reach it.
+     */
     private static final double SUSPECT_RATE = 0.25;
-    /** Failures in a row that make it suspect however far apart they are: time-outs of few requests come seconds apart. */
+    /**
+     * Consecutive failures that make an endpoint suspect whatever the time between them, because timeouts of infrequent
+     * requests are seconds apart.
+     */
     private static final int SUSPECT_CONSECUTIVE_FAILURES = 3;
-    /** How long after the last of them it is tried again, in nanoseconds: a typical restart. */
+    /** Time after the last of these failures until it is used again, in nanoseconds: the time of a typical restart. */
     private static final long RETRY_DELAY_NANOS = 2_000_000_000L;
 
     private double failureRate;
@@ -26,15 +35,15 @@
     private int consecutiveFailures;
     private long lastFailureNanos;
 
-    /** Notes an answer and how long it took. */
-    public void recordSuccess(long now, double tookMillis) {
+    /** Records an answer and its response time in milliseconds. */
+    public void recordSuccess(long now, double elapsedMillis) {
         decay(now);
         consecutiveFailures = 0;
         failureRate *= 1 - NEWEST_WEIGHT;
-        responseMillis += NEWEST_WEIGHT * (tookMillis - responseMillis);
+        responseMillis += NEWEST_WEIGHT * (elapsedMillis - responseMillis);
     }
 
-    /** Notes a failure that was the endpoint's. */
+    /** Records a failure caused by the endpoint. */
     public void recordFailure(long now) {
         decay(now);
         consecutiveFailures++;
@@ -42,20 +51,20 @@
         failureRate += NEWEST_WEIGHT * (1 - failureRate);
     }
 
-    /** Returns the share of its latest answers that failed, from 0 to 1. */
+    /** Returns the weighted share of recent requests that failed, from 0 to 1. */
     public double failureRate(long now) {
         decay(now);
         return failureRate;
     }
 
-    /** Returns whether it fails too often to be used while a better one is there. */
+    /** Returns whether the endpoint fails too often to be used while a better one is available. */
     public boolean isSuspect(long now) {
-        boolean silent =
+        boolean unresponsive =
                 consecutiveFailures >= SUSPECT_CONSECUTIVE_FAILURES && now - lastFailureNanos < RETRY_DELAY_NANOS;
-        return silent || failureRate(now) >= SUSPECT_RATE;
+        return unresponsive || failureRate(now) >= SUSPECT_RATE;
     }
 
-    /** Returns the typical time to an answer, in milliseconds. */
+    /** Returns the weighted mean response time, in milliseconds. */
     public double responseMillis() {
         return responseMillis;
     }
--- a/core/src/main/java/org/quetzalseam/core/fleet/Incarnation.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/Incarnation.java
@@ -1,21 +1,22 @@
 package org.quetzalseam.core.fleet;
 
 /**
- * One life of an endpoint: it may start again under its id, and then knows nothing of before. Immutable.
+ * Identifies one run of an endpoint, from its start to its end. An endpoint may restart under the same id; it then has
+ * no state of its previous incarnation. Immutable.
  *
  * @param id the endpoint's id
- * @param startMillis when this life began, in Unix milliseconds of the endpoint's clock, or {@link #UNKNOWN_START}
+ * @param startMillis start time, in Unix milliseconds of the endpoint's clock, or {@link #UNKNOWN_START}
  */
 public record Incarnation(String id, long startMillis) {
-    /** Start of an endpoint that doesn't say when it started; it counts as earlier than any that does. */
+    /** Start time of an endpoint that does not report one; it counts as earlier than any other. */
     public static final long UNKNOWN_START = 0;
 
-    /** Returns whether the endpoint says when it started. */
+    /** Returns whether the endpoint reports its start time. */
     public boolean hasStart() {
         return startMillis != UNKNOWN_START;
     }
 
-    /** Returns whether this life of the endpoint ended before the other began. */
+    /** Returns whether this is an earlier incarnation of the same endpoint than the other. */
     public boolean precedes(Incarnation other) {
         return id.equals(other.id) && startMillis < other.startMillis;
     }
--- a/core/src/main/java/org/quetzalseam/core/fleet/Member.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/Member.java
@@ -1,17 +1,17 @@
 package org.quetzalseam.core.fleet;
 
 /**
- * One endpoint as the platform lists it. Immutable.
+ * An endpoint as registered with the platform. Immutable.
  *
- * @param id names the endpoint; it may keep its id over a restart
- * @param startMillis when it started, in Unix milliseconds; with the id it names one {@link Incarnation}
+ * @param id id of the endpoint; an endpoint may keep its id over a restart
+ * @param startMillis start time, in Unix milliseconds; together with the id it identifies one {@link Incarnation}
  * @param service the service it belongs to
  * @param host its IP address
  * @param port its port
  * @param zone its availability zone
- * @param slots how many requests it runs at once
- * @param draining whether it has said that it leaves
- * @param stage the part of a generation that it takes
+ * @param slots number of requests that it runs concurrently
+ * @param draining whether it has announced that it shuts down
+ * @param stage the part of a generation that it performs
  */
 public record Member(
         String id,
@@ -23,17 +23,17 @@
         int slots,
         boolean draining,
         Stage stage) {
-    /** Returns which life of the endpoint this speaks of. */
+    /** Returns the incarnation of the endpoint that this registration describes. */
     public Incarnation incarnation() {
         return new Incarnation(id, startMillis);
     }
 
-    /** Returns the same endpoint, started again. */
-    public Member restartedAt(long atMillis) {
-        return new Member(id, atMillis, service, host, port, zone, slots, draining, stage);
+    /** Returns the same endpoint after a restart at the given time, in Unix milliseconds. */
+    public Member restartedAt(long newStartMillis) {
+        return new Member(id, newStartMillis, service, host, port, zone, slots, draining, stage);
     }
 
-    /** Returns its address as {@code host:port}. */
+    /** Returns the address of the endpoint as {@code host:port}. */
     public String address() {
         return host + ":" + port;
     }
--- a/core/src/main/java/org/quetzalseam/core/fleet/MemberTable.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/MemberTable.java
@@ -9,14 +9,15 @@
 import java.util.Set;
 
 /**
- * The endpoints an entry may use, kept from listings and changes of the platform's list. Not thread-safe.
+ * The endpoints that an entry may use, updated from the listings and changes of the platform's registrations. Not
+ * thread-safe.
  *
- * <p>While the platform's store is away, registrations lapse though their endpoints live. What is missing right after the
- * store's return is therefore kept for a grace time, in which a living endpoint registers again; whatever is missing at
- * any other time is gone at once.
+ * <p>While the platform's store is unavailable, registrations lapse although their endpoints are running. A member that
+ * is missing right after an outage of the store is therefore kept for a grace period, in which a running endpoint
+ * registers again; a member that is missing at any other time is removed at once.
  *
- * <p>Either all endpoints of a platform say when they started, or none does. Once half of the registrations have said it, one
- * that doesn't is another writer's and names no endpoint.
+ * <p>Either all endpoints of a platform report their start time or none does. Once half of the registrations have had a
+ * start time, a registration without one comes from another writer and does not describe an endpoint.
  */
 public final class MemberTable {
     private final long graceNanos;
@@ -24,19 +25,19 @@
     private final Map<String, Long> graceEndNanos = new HashMap<>();
     private boolean startsRequired;
 
-    /** Creates an empty table that keeps lapsed registrations for the given time, in nanoseconds. */
+    /** Creates an empty table that keeps lapsed registrations for the given grace period, in nanoseconds. */
     public MemberTable(long graceNanos) {
         this.graceNanos = graceNanos;
     }
 
     /**
-     * Takes a whole listing.
+     * Replaces the members by a complete listing.
      *
      * @param listed all members
      * @param now monotonic time in nanoseconds
-     * @param storeWasAway whether the store has just come back from an outage
+     * @param afterStoreOutage whether the store has just recovered from an outage
      */
-    public void replaceAll(Collection<Member> listed, long now, boolean storeWasAway) {
+    public void replaceAll(Collection<Member> listed, long now, boolean afterStoreOutage) {
         Set<String> ids = new HashSet<>();
         for (Member member : listed) {
             ids.add(member.id());
@@ -44,13 +45,13 @@
         }
         for (String id : List.copyOf(members.keySet())) {
             if (!ids.contains(id)) {
-                remove(id, now, storeWasAway);
+                remove(id, now, afterStoreOutage);
             }
         }
         updateStartsRequired();
     }
 
-    /** Adds or renews a member. What speaks of an earlier life than the one known came late, and changes nothing. */
+    /** Adds or updates a member. An update for an incarnation before the known one is outdated and is ignored. */
     public void put(Member member) {
         putUnlessOlder(member);
         updateStartsRequired();
@@ -58,43 +59,46 @@
 
     private void putUnlessOlder(Member member) {
         Member known = members.get(member.id());
-        boolean late = known != null
+        boolean outdated = known != null
                 && member.incarnation().hasStart()
                 && member.incarnation().precedes(known.incarnation());
-        if (!late) {
+        if (!outdated) {
             members.put(member.id(), member);
             graceEndNanos.remove(member.id());
         }
     }
 
-    /** A single registration must not decide it: it may be the other writer's. */
+    /** Requires start times once half of the members have one; a single registration may come from another writer. */
     private void updateStartsRequired() {
-        long stated = members.values().stream().filter(MemberTable::hasStart).count();
-        startsRequired |= stated > 0 && 2 * stated >= members.size();
+        long withStart = members.values().stream().filter(MemberTable::hasStart).count();
+        startsRequired |= withStart > 0 && 2 * withStart >= members.size();
     }
 
     private static boolean hasStart(Member member) {
         return member.incarnation().hasStart();
     }
 
-    /** Notes that a member is no longer listed. A member that had said that it leaves is gone at once. */
-    public void remove(String id, long now, boolean storeWasAway) {
+    /**
+     * Removes a member that is no longer listed, after the grace period if the store has just recovered from an outage.
+     * A draining member is always removed at once.
+     */
+    public void remove(String id, long now, boolean afterStoreOutage) {
         Member member = members.get(id);
         if (member == null) {
             return;
         }
-        if (storeWasAway && !member.draining()) {
+        if (afterStoreOutage && !member.draining()) {
             graceEndNanos.putIfAbsent(id, now + graceNanos);
             return;
         }
         forget(id);
     }
 
-    /** Drops what is still missing after its grace time. Returns the ids dropped. */
+    /** Removes the members that are still missing after their grace period. Returns their ids. */
     public List<String> expire(long now) {
         List<String> dropped = new ArrayList<>();
-        graceEndNanos.forEach((id, until) -> {
-            if (now - until >= 0) {
+        graceEndNanos.forEach((id, graceEnd) -> {
+            if (now - graceEnd >= 0) {
                 dropped.add(id);
             }
         });
@@ -107,7 +111,7 @@
         graceEndNanos.remove(id);
     }
 
-    /** Returns all members that name an endpoint, those that leave and those that are missing included. */
+    /** Returns all members that describe an endpoint, including those that are draining or missing. */
     public Collection<Member> all() {
         return members.values().stream()
                 .filter(member -> !startsRequired || hasStart(member))
--- a/core/src/main/java/org/quetzalseam/core/fleet/RejectionBackoff.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/RejectionBackoff.java
@@ -1,16 +1,23 @@
 package org.quetzalseam.core.fleet;
 
 /**
- * How long an engine is left out that turns work away although it is listed as taking it, as while it changes stage: its
- * registration tells of a change only at the end, some twelve seconds after the order. Not thread-safe.
+ * Excludes an engine for some time when it rejects work although it is registered as accepting it. This happens while
+ * an engine changes its stage: its registration shows the change only at the end, some 12 seconds after the order. Not
+ * thread-safe.
  *
- * <p>Without it, an engine that takes nothing looks like the emptiest: each generation books there, has its prompt
- * read, and is turned away, again and again.
+ * <p>Without the exclusion, an engine that rejects everything looks like the least loaded one: each generation books
+ * there, has its prompt prefilled, and is rejected, repeatedly.
  */
 public final class RejectionBackoff {
-    /** How long an engine is left out at first, in nanoseconds: several times what a short fault of a link or a cache takes. */
+    /**
+     * Duration of the first exclusion, in nanoseconds: several times as long as a short fault of a connection or a
+     * cache.
+     */
     private static final long FIRST_EXCLUSION_NANOS = 2_000_000_000L;
-    /** Doublings at the most: eight seconds, after which the change of a stage is over that was met at its beginning. */
+    /**
+     * Maximum number of doublings. The longest exclusion is thus 8 seconds; when it ends, a change of stage that began
+     * at the first rejection is over.
+     */
     private static final int MAX_DOUBLINGS = 2;
 
     private final int toleratedRejections;
@@ -19,16 +26,16 @@
     private boolean excluded;
 
     /**
-     * Creates a record.
+     * Creates the record of one engine, without rejections.
      *
-     * @param toleratedRejections how many in a row say nothing of this engine: 0 where it answers for itself alone, 1 where another engine
-     *     may have been the cause
+     * @param toleratedRejections number of consecutive rejections that do not exclude the engine: 0 where only the
+     *     engine itself can be the cause, 1 where it may be another engine
      */
-    public RejectionBackoff(int tolerated) {
-        this.toleratedRejections = tolerated;
+    public RejectionBackoff(int toleratedRejections) {
+        this.toleratedRejections = toleratedRejections;
     }
 
-    /** Notes that work was turned away. What was sent before the engine was left out counts as one with it. */
+    /** Records a rejection. It does not count during an exclusion, because the work may have been sent before that. */
     public void recordRejection(long now) {
         if (isExcluded(now)) {
             return;
@@ -41,13 +48,13 @@
         }
     }
 
-    /** Notes that work was taken. */
+    /** Records that the engine accepted work, which ends its exclusion. */
     public void recordAcceptance() {
         consecutiveRejections = 0;
         excluded = false;
     }
 
-    /** Returns whether other engines are to be used before it. */
+    /** Returns whether other engines should be preferred to this one. */
     public boolean isExcluded(long now) {
         return excluded && now - excludedUntilNanos < 0;
     }
--- a/core/src/main/java/org/quetzalseam/core/fleet/Stage.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/Stage.java
@@ -1,11 +1,11 @@
 package org.quetzalseam.core.fleet;
 
-/** The part of a generation that an endpoint takes. */
+/** The part of a generation that an endpoint performs. */
 public enum Stage {
-    /** Whole requests: a plain service. */
+    /** Complete requests, as a plain service. */
     WHOLE,
-    /** Reads prompts and hands their KV cache on. */
+    /** Prefills prompts and transfers their KV cache. */
     PREFILL,
-    /** Makes tokens. */
+    /** Generates tokens. */
     DECODE
 }
--- a/core/src/main/java/org/quetzalseam/core/fleet/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** The endpoints that serve: who they are, which of them take work, and how well they do. */
+/** Registered endpoints: their identity, availability and health. */
 @NullMarked
 package org.quetzalseam.core.fleet;
 
--- a/core/src/main/java/org/quetzalseam/core/ini/IniDocument.java
+++ b/core/src/main/java/org/quetzalseam/core/ini/IniDocument.java
@@ -11,8 +11,8 @@
 import org.apache.commons.configuration2.ex.ConfigurationException;
 
 /**
- * The sections of one INI text. Reading never throws for what an operator may have written: problems are collected and
- * returned all at once. Not thread-safe.
+ * The sections of one INI text. Malformed input never throws an exception: problems are collected and returned
+ * together. Not thread-safe.
  *
  * <p>Example: {@code new IniDocument("site.ini", text).sections()}.
  */
@@ -24,7 +24,7 @@
     /**
      * Parses a text.
      *
-     * @param file name that problems are reported under
+     * @param file file name for problem reports
      * @param text the INI text
      */
     public IniDocument(String file, String text) {
@@ -52,12 +52,12 @@
         return file;
     }
 
-    /** Notes a problem under the given section and key. */
-    public void report(String path, String message) {
-        problems.add(new Problem(file, path, message));
+    /** Adds a problem at the given section and key. */
+    public void report(String location, String message) {
+        problems.add(new Problem(file, location, message));
     }
 
-    /** Returns the problems noted so far. */
+    /** Returns the problems found so far. */
     public List<Problem> problems() {
         return List.copyOf(problems);
     }
--- a/core/src/main/java/org/quetzalseam/core/ini/IniSection.java
+++ b/core/src/main/java/org/quetzalseam/core/ini/IniSection.java
@@ -13,8 +13,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Typed access to one section. A missing or malformed value is noted as a problem of the document and replaced by the
- * default, so that one reading finds every fault. Not thread-safe.
+ * Typed access to the values of one section. A malformed value, or a missing one without a default, is added to the
+ * problems of the document and replaced by a default, so that a single pass finds all problems. Not thread-safe.
  */
 public final class IniSection {
     private final IniDocument document;
@@ -28,7 +28,7 @@
         this.values = values;
     }
 
-    /** Returns a section without any keys, for one that a document lacks. */
+    /** Returns an empty section in place of one that a document does not contain. */
     public static IniSection empty(IniDocument document, String name) {
         return new IniSection(document, name, new INIConfiguration().getSection(name));
     }
@@ -38,7 +38,7 @@
         return name;
     }
 
-    /** Notes a problem with one key. */
+    /** Adds a problem with one key. */
     public void report(String key, String message) {
         document.report("[" + name + "] " + key, message);
     }
@@ -53,7 +53,7 @@
         return value.isEmpty() ? null : value;
     }
 
-    /** Returns a text, or reports that it is missing. */
+    /** Returns a text; reports a missing value and returns an empty text. */
     public String text(String key) {
         String value = raw(key);
         if (value == null) {
@@ -69,7 +69,7 @@
         return value == null ? fallback : value;
     }
 
-    /** Returns a text if there is one. */
+    /** Returns a text if the key has a value. */
     public Optional<String> optional(String key) {
         return Optional.ofNullable(raw(key));
     }
@@ -98,7 +98,7 @@
                 return number;
             }
         } catch (NumberFormatException expected) {
-            // Reported below, in the same words as a number out of bounds.
+            // Reported below with the same message as a number out of bounds.
         }
         report(key, "expected a whole number from " + min + " to " + max + ", got '" + value + "'");
         return fallback;
@@ -116,7 +116,7 @@
                 return number;
             }
         } catch (NumberFormatException expected) {
-            // Reported below, in the same words as a number that is not positive.
+            // Reported below with the same message as a number that is not positive.
         }
         report(key, "expected a number above 0, got '" + value + "'");
         return fallback;
@@ -135,7 +135,10 @@
         return value.equals("true");
     }
 
-    /** Returns one of an enumeration's constants by its lower-case name, or the default when the key is missing. */
+    /**
+     * Returns the enum constant with the given name, in lower case with hyphens, or the default when the key is
+     * missing.
+     */
     public <T extends Enum<T>> T choice(String key, T fallback) {
         String value = raw(key);
         if (value == null) {
@@ -157,7 +160,7 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Reports every key that no accessor has asked for, with the nearest known name. Call it last. */
+    /** Reports every key that no accessor has requested, with the most similar requested key. To be called last. */
     public void reportUnknownKeys() {
         Iterator<String> keys = values.getKeys();
         while (keys.hasNext()) {
@@ -168,17 +171,20 @@
         }
     }
 
-    /** Returns a hint such as {@code ", did you mean 'class'?"} with the nearest of the known names. */
+    /**
+     * Returns a hint such as {@code ", did you mean 'class'?"} with the most similar name, or an empty text without
+     * names.
+     */
     public static String suggestNearest(String name, Iterable<String> names) {
-        String best = null;
-        int distance = Integer.MAX_VALUE;
+        String nearest = null;
+        int nearestDistance = Integer.MAX_VALUE;
         for (String candidate : names) {
-            int d = LevenshteinDistance.getDefaultInstance().apply(name, candidate);
-            if (d < distance) {
-                distance = d;
-                best = candidate;
+            int candidateDistance = LevenshteinDistance.getDefaultInstance().apply(name, candidate);
+            if (candidateDistance < nearestDistance) {
+                nearestDistance = candidateDistance;
+                nearest = candidate;
             }
         }
-        return best == null ? "" : ", did you mean '" + best + "'?";
+        return nearest == null ? "" : ", did you mean '" + nearest + "'?";
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/ini/Problem.java
+++ b/core/src/main/java/org/quetzalseam/core/ini/Problem.java
@@ -1,11 +1,11 @@
 package org.quetzalseam.core.ini;
 
 /**
- * One thing that is wrong with a file an operator wrote. Immutable.
+ * A problem in a file written by an operator. Immutable.
  *
  * @param file the file's name
  * @param location section and key, such as {@code [entry lookups] class}
- * @param message what is wrong and what was expected
+ * @param message description of the problem and of the expected value
  */
 public record Problem(String file, String location, String message) {
     @Override
--- a/core/src/main/java/org/quetzalseam/core/ini/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/ini/package-info.java
@@ -1,4 +1,4 @@
-/** Typed reading of INI text that collects every problem instead of stopping at the first. */
+/** Typed access to INI files that collects all problems instead of stopping at the first. */
 @NullMarked
 package org.quetzalseam.core.ini;
 
--- a/core/src/main/java/org/quetzalseam/core/keyed/KeyTable.java
+++ b/core/src/main/java/org/quetzalseam/core/keyed/KeyTable.java
@@ -8,24 +8,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The idempotency keys that one endpoint process has seen. A key that is claimed runs here and nowhere else; a second
- * request with the same key waits for the first one's answer or receives it again.
+ * Records the idempotency keys that one endpoint process has seen. The request of a claimed key runs here and nowhere
+ * else; another request with the same key waits for the answer of the first, or receives the stored answer.
  *
- * <p>Another process that has become the holder of a key asks this one to {@link #fence} it: a key that was never seen
- * here can from then on not be claimed here, and one that was seen is reported, so that it isn't run a second time.
+ * <p>A process that has become the holder of a key asks this one to {@link #fence} it. A key never seen here can no
+ * longer be claimed here; a key that was claimed here is reported, so that its request does not run twice.
  *
  * <p>Thread-safe. Times are nanoseconds of one monotonic clock.
  *
  * @param <A> the answer kept for a key
  */
 public final class KeyTable<A> {
-    /** What a claim found. */
+    /** Result of a claim. */
     public enum Claim {
-        /** The key is new: the claimant runs the request and then calls {@code finish} or {@code release}. */
+        /** The key is new: the claimant must run the request and then call {@code finish} or {@code release}. */
         OWNED,
-        /** The key's request runs or has ended: the listener has been or will be called with its answer. */
+        /** The request of this key is running or has ended: the listener has been or will be called with its answer. */
         ATTACHED,
-        /** The key belongs to another request: its fingerprint differs. */
+        /** The key belongs to a different request: the fingerprints differ. */
         MISMATCH,
         /** The key has moved to another holder. */
         FENCED
@@ -50,7 +50,7 @@
     private final long retentionNanos;
     private final Map<String, KeyRecord<A>> records = new HashMap<>();
 
-    /** Creates an empty table that remembers a key for {@code retentionNanos} after its last change. */
+    /** Creates an empty table that retains a key for {@code retentionNanos} after its last change. */
     public KeyTable(long retentionNanos) {
         if (retentionNanos <= 0) {
             throw new IllegalArgumentException("retentionNanos: expected > 0, got " + retentionNanos);
@@ -61,28 +61,28 @@
     /**
      * Claims a key.
      *
-     * @param key the key, with its owner and service in front
-     * @param fingerprint digest of the request, so that one key isn't used for two requests
+     * @param key the key, prefixed with its owner and service
+     * @param fingerprint digest of the request, which detects the use of one key for two different requests
      * @param listener called with the answer when the claim is {@code ATTACHED}
-     * @param now the current time
+     * @param now the current time, in monotonic nanoseconds
      */
     public Claim claim(String key, String fingerprint, Consumer<A> listener, long now) {
         A answer;
         synchronized (this) {
-            KeyRecord<A> entry = records.get(key);
-            if (entry == null) {
+            KeyRecord<A> record = records.get(key);
+            if (record == null) {
                 records.put(key, new KeyRecord<>(fingerprint, now));
                 return Claim.OWNED;
             }
-            if (entry.fenced) {
+            if (record.fenced) {
                 return Claim.FENCED;
             }
-            if (!entry.fingerprint.equals(fingerprint)) {
+            if (!record.fingerprint.equals(fingerprint)) {
                 return Claim.MISMATCH;
             }
-            answer = entry.answer;
+            answer = record.answer;
             if (answer == null) {
-                entry.listeners.add(listener);
+                record.listeners.add(listener);
                 return Claim.ATTACHED;
             }
         }
@@ -90,70 +90,70 @@
         return Claim.ATTACHED;
     }
 
-    /** Returns whether the key is known here, so that no other process need be asked about it. */
+    /** Returns whether this table has the key, so that no other process needs to be asked about it. */
     public synchronized boolean isKnown(String key) {
         return records.containsKey(key);
     }
 
-    /** Returns the keys that were claimed or barred here and are not yet forgotten. */
+    /** Returns the keys that were claimed or fenced here and have not been purged or released. */
     public synchronized List<String> retainedKeys() {
         return List.copyOf(records.keySet());
     }
 
-    /** Keeps the answer of a claimed key and hands it to every request that waits for it. */
+    /** Stores the answer of a claimed key and delivers it to all requests that wait for it. */
     public void finish(String key, A answer, long now) {
         complete(key, answer, true, now);
     }
 
-    /** Forgets a claimed key whose request was proved not to have run; those that wait receive {@code answer}. */
+    /** Removes a claimed key whose request provably did not run; waiting requests receive {@code answer}. */
     public void release(String key, A answer, long now) {
         complete(key, answer, false, now);
     }
 
-    private void complete(String key, A answer, boolean keep, long now) {
-        List<Consumer<A>> waiting;
+    private void complete(String key, A answer, boolean keepAnswer, long now) {
+        List<Consumer<A>> listeners;
         synchronized (this) {
-            KeyRecord<A> entry = records.get(key);
-            if (entry == null) {
+            KeyRecord<A> record = records.get(key);
+            if (record == null) {
                 return;
             }
-            waiting = List.copyOf(entry.listeners);
-            entry.listeners.clear();
-            entry.changedAtNanos = now;
-            if (keep) {
-                entry.answer = answer;
-            } else if (!entry.fenced) {
+            listeners = List.copyOf(record.listeners);
+            record.listeners.clear();
+            record.changedAtNanos = now;
+            if (keepAnswer) {
+                record.answer = answer;
+            } else if (!record.fenced) {
                 records.remove(key);
             }
         }
-        waiting.forEach(listener -> listener.accept(answer));
+        listeners.forEach(listener -> listener.accept(answer));
     }
 
     /**
-     * Bars a key from being claimed here because another process holds it now. Returns true when the key was never
-     * claimed here, false when it was: then it may have run, and the new holder must not run it.
+     * Prevents a key from being claimed here because another process holds it now. Returns true when the key was never
+     * claimed here, false when it was: its request may then have run, and the new holder must not run it.
      */
     public synchronized boolean fence(String key, long now) {
-        KeyRecord<A> entry = records.get(key);
-        if (entry == null) {
+        KeyRecord<A> record = records.get(key);
+        if (record == null) {
             KeyRecord<A> tombstone = new KeyRecord<>("", now);
             tombstone.fenced = true;
             records.put(key, tombstone);
             return true;
         }
-        return entry.fenced;
+        return record.fenced;
     }
 
-    /** Forgets settled keys older than the retention. Returns how many were dropped. */
+    /** Removes fenced and answered keys older than the retention time. Returns how many were removed. */
     public synchronized int purge(long now) {
         int before = records.size();
         records.values()
-                .removeIf(
-                        entry -> (entry.fenced || entry.answer != null) && now - entry.changedAtNanos > retentionNanos);
+                .removeIf(record ->
+                        (record.fenced || record.answer != null) && now - record.changedAtNanos > retentionNanos);
         return before - records.size();
     }
 
-    /** Returns how many keys are remembered. */
+    /** Returns the number of keys in the table. */
     public synchronized int size() {
         return records.size();
     }
--- a/core/src/main/java/org/quetzalseam/core/keyed/KeyTimestamp.java
+++ b/core/src/main/java/org/quetzalseam/core/keyed/KeyTimestamp.java
@@ -4,8 +4,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Tells when an idempotency key was made, if it is a UUID of version 7, whose first 48 bits are the milliseconds of the
- * epoch (RFC 9562). Stateless.
+ * Reads the creation time of an idempotency key that is a UUID of version 7, whose first 48 bits are Unix milliseconds
+ * (RFC 9562). Stateless.
  */
 public final class KeyTimestamp {
     private static final Pattern VERSION_7 =
@@ -14,7 +14,7 @@
 
     private KeyTimestamp() {}
 
-    /** Returns when the key was made, in milliseconds of the epoch, if the key tells. */
+    /** Returns the creation time of the key in Unix milliseconds, or empty if the key is not a UUID of version 7. */
     public static OptionalLong mintedAtMillis(String key) {
         if (!VERSION_7.matcher(key).matches()) {
             return OptionalLong.empty();
--- a/core/src/main/java/org/quetzalseam/core/keyed/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/keyed/package-info.java
@@ -1,4 +1,4 @@
-/** Records of idempotency keys, kept by the endpoint that runs the keyed requests. */
+/** Records of idempotency keys, kept by the endpoint that runs the requests with these keys. */
 @NullMarked
 package org.quetzalseam.core.keyed;
 
--- a/core/src/main/java/org/quetzalseam/core/placement/Candidate.java
+++ b/core/src/main/java/org/quetzalseam/core/placement/Candidate.java
@@ -1,11 +1,11 @@
 package org.quetzalseam.core.placement;
 
 /**
- * An endpoint that could take an attempt, as an entry knows it. Immutable.
+ * An endpoint that an attempt may be sent to, with the load that the entry knows of. Immutable.
  *
  * @param id the endpoint's name
  * @param zone its availability zone
- * @param free places free in its last report, less those sent to since
- * @param backlog cost of the work waiting or running there in its last report, plus what was sent since
+ * @param free free slots in its last report, less the attempts sent since then
+ * @param backlog cost of the waiting and running work in its last report, plus the work sent since then
  */
 public record Candidate(String id, String zone, int free, long backlog) {}
--- a/core/src/main/java/org/quetzalseam/core/placement/Ejection.java
+++ b/core/src/main/java/org/quetzalseam/core/placement/Ejection.java
@@ -1,8 +1,8 @@
 package org.quetzalseam.core.placement;
 
 /**
- * Keeps an endpoint that fails again and again out of placement for a while, longer each time. Not thread-safe. Times are
- * nanoseconds of one monotonic clock.
+ * Excludes an endpoint from placement after repeated failures, for twice as long each time up to a limit. Not
+ * thread-safe. Times are nanoseconds of one monotonic clock.
  */
 public final class Ejection {
     private static final int FAILURES_TO_EJECT = 3;
@@ -14,14 +14,14 @@
     private long ejectedUntilNanos;
     private boolean ejected;
 
-    /** Notes a success: the endpoint's record is clean again. */
+    /** Records a success, which ends the ejection and resets its duration. */
     public void recordSuccess() {
         failures = 0;
         ejections = 0;
         ejected = false;
     }
 
-    /** Notes a failure that was the endpoint's. */
+    /** Records a failure caused by the endpoint. */
     public void recordFailure(long now) {
         failures++;
         if (failures >= FAILURES_TO_EJECT) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Returns whether the endpoint is to be left out now. */
+    /** Returns whether the endpoint is excluded from placement now. */
     public boolean isEjected(long now) {
         return ejected && ejectedUntilNanos - now > 0;
     }
--- a/core/src/main/java/org/quetzalseam/core/placement/Placement.java
+++ b/core/src/main/java/org/quetzalseam/core/placement/Placement.java
@@ -6,33 +6,33 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses an endpoint for an attempt. Implementations are thread-safe when the generator they were given is.
+ * Chooses an endpoint for an attempt. Implementations are thread-safe if the random generator given to them is.
  *
  * <p>Example: {@code Placement.leastBacklog().choose(candidates, "prefix", "freising")}.
  */
 @FunctionalInterface
 public interface Placement {
     /**
-     * Returns the chosen endpoint's index in {@code candidates}.
+     * Returns the index of the chosen endpoint in {@code candidates}.
      *
      * @param candidates the endpoints to choose from, not empty
-     * @param affinity hash of the prompt's beginning, or of whatever should meet the same endpoint again
-     * @param zone the chooser's own availability zone
+     * @param affinity hash of the prompt's prefix, or of whatever should be sent to the same endpoint again
+     * @param zone the availability zone of this process
      */
     int choose(List<Candidate> candidates, long affinity, String zone);
 
-    /** Returns the baseline: each endpoint in its turn. */
+    /** Returns the round-robin placement, the baseline for measurements of the others. */
     static Placement roundRobin() {
-        AtomicInteger turn = new AtomicInteger();
-        return (candidates, affinity, zone) -> Math.floorMod(turn.getAndIncrement(), candidates.size());
+        AtomicInteger counter = new AtomicInteger();
+        return (candidates, affinity, zone) -> Math.floorMod(counter.getAndIncrement(), candidates.size());
     }
 
-    /** Returns a placement that takes the least backlog, then the most free places, then the chooser's own zone. */
+    /** Returns a placement that prefers the least backlog, then the most free slots, then the zone of this process. */
     static Placement leastBacklog() {
         return (candidates, affinity, zone) -> best(candidates, order(zone));
     }
 
-    /** Returns a placement that takes the better of two endpoints drawn at random. */
+    /** Returns a placement that chooses the better of two random endpoints, by the order of {@link #leastBacklog}. */
     static Placement twoChoices(RandomGenerator random) {
         return (candidates, affinity, zone) -> {
             int first = random.nextInt(candidates.size());
@@ -43,18 +43,18 @@
     }
 
     /**
-     * Returns a placement that prefers the endpoint which rendezvous hashing gives to the prompt's beginning, as long as
-     * that endpoint's backlog is no more than {@code slack} above the least.
+     * Returns a placement that prefers the endpoint to which rendezvous hashing assigns the prompt's prefix, as long as
+     * the backlog of that endpoint exceeds the least backlog by no more than {@code slack}.
      */
     static Placement prefixAffinity(long slack) {
         Placement least = leastBacklog();
         return (candidates, affinity, zone) -> {
             List<String> ids = candidates.stream().map(Candidate::id).toList();
-            int home = Rendezvous.top(ids, affinity);
-            int lightest = least.choose(candidates, affinity, zone);
-            long excess =
-                    candidates.get(home).backlog() - candidates.get(lightest).backlog();
-            return excess <= slack ? home : lightest;
+            int preferred = Rendezvous.top(ids, affinity);
+            int leastLoaded = least.choose(candidates, affinity, zone);
+            long excess = candidates.get(preferred).backlog()
+                    - candidates.get(leastLoaded).backlog();
+            return excess <= slack ? preferred : leastLoaded;
         };
     }
 
--- a/core/src/main/java/org/quetzalseam/core/placement/Rendezvous.java
+++ b/core/src/main/java/org/quetzalseam/core/placement/Rendezvous.java
@@ -6,25 +6,25 @@
 import java.util.List;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Rendezvous hashing: every process that knows the same names gives a key to the same one. Stateless. */
+/** Rendezvous hashing: all processes that know the same names assign a key to the same name. Stateless. */
 public final class Rendezvous {
     private static final int SEED = 0x5eed;
 
     private Rendezvous() {}
 
-    /** Returns a 64-bit hash of text, for use as a key. */
+    /** Returns a 64-bit hash of a text, for use as a key. */
     public static long hash(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash128x64(bytes, 0, bytes.length, SEED)[0];
     }
 
-    /** Returns the weight of a name for a key; the highest weight wins the key. */
+    /** Returns the weight of a name for a key. The key is assigned to the name with the highest weight, unsigned. */
     public static long weight(String name, long key) {
         byte[] bytes = (name + '#' + Long.toHexString(key)).getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash128x64(bytes, 0, bytes.length, SEED)[0];
     }
 
-    /** Returns the index of the name that holds the key. The list must not be empty. */
+    /** Returns the index of the name that the key is assigned to. The list must not be empty. */
     public static int top(List<String> names, long key) {
         if (names.isEmpty()) {
             throw new IllegalArgumentException("names: expected at least one");
@@ -38,7 +38,9 @@
         return best;
     }
 
-    /** Returns up to {@code count} names by falling weight for the key: a subset that changes little when names do. */
+    /**
+     * Returns up to {@code count} names by descending weight for the key. The subset changes little when names change.
+     */
     public static List<String> subset(List<String> names, long key, int count) {
         List<String> ranked = new ArrayList<>(names);
         ranked.sort(Comparator.comparingLong((String name) -> weight(name, key) ^ Long.MIN_VALUE)
--- a/core/src/main/java/org/quetzalseam/core/placement/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/placement/package-info.java
@@ -1,4 +1,4 @@
-/** Choice of an endpoint among those known, by load, zone and key. */
+/** Choice of an endpoint by load, availability zone and hash. */
 @NullMarked
 package org.quetzalseam.core.placement;
 
--- a/core/src/main/java/org/quetzalseam/core/routing/CallKind.java
+++ b/core/src/main/java/org/quetzalseam/core/routing/CallKind.java
@@ -1,11 +1,11 @@
 package org.quetzalseam.core.routing;
 
-/** What may be repeated, and how an answer is delivered. */
+/** Kind of call: whether it may be repeated, and how its answer is delivered. */
 public enum CallKind {
     /** May run any number of times. */
     IDEMPOTENT,
-    /** May run once at most. */
+    /** May run at most once. */
     NON_IDEMPOTENT,
-    /** A series of events; may run again only where its route says that it can be resumed. */
+    /** Delivers a series of events; may run again only if its route is resumable. */
     STREAM
 }
--- a/core/src/main/java/org/quetzalseam/core/routing/RouteRule.java
+++ b/core/src/main/java/org/quetzalseam/core/routing/RouteRule.java
@@ -3,20 +3,22 @@
 import java.util.List;
 
 /**
- * One route: the requests it takes and how they are treated. Immutable.
+ * A route: which requests it matches and how they are handled. Immutable.
  *
  * @param name the route's name
  * @param host the host it belongs to, in lower case
- * @param pathPrefix what a request's path begins with; begins and ends with a slash
- * @param kind what may be repeated
- * @param shares the services that take its requests, at least one
- * @param maxAttempts the most endpoints that may run one request
- * @param timeoutMillis how long a caller may be kept waiting for the end of an answer
- * @param targetLatencyMillis latency objective: to the whole answer, or to a stream's first event
- * @param targetGapMillis latency objective of a stream's further events: the longest pause; 0 where there is none
- * @param idleTimeoutMillis how long a stream's caller stays without an event, also without the first
- * @param priority rank, 0 is the most urgent
- * @param resumable whether a stream can go on at another endpoint
+ * @param pathPrefix prefix of the request path; begins and ends with a slash
+ * @param kind whether requests may be repeated, and how answers are delivered
+ * @param shares the services that receive its requests, at least one
+ * @param maxAttempts maximum number of endpoints that may run one request
+ * @param timeoutMillis maximum time until the end of an answer, in milliseconds
+ * @param targetLatencyMillis latency objective for the complete answer, or for a stream's first event, in milliseconds
+ * @param targetGapMillis latency objective for the longest gap between events of a stream, in milliseconds; 0 if there
+ *     is none
+ * @param idleTimeoutMillis time that the caller of a stream keeps waiting without an event, including the first, in
+ *     milliseconds
+ * @param priority priority; 0 is the most urgent
+ * @param resumable whether a stream can be resumed at another endpoint
  */
 public record RouteRule(
         String name,
@@ -31,7 +33,7 @@
         long idleTimeoutMillis,
         int priority,
         boolean resumable) {
-    /** Creates a route and checks that it leads somewhere. */
+    /** Checks that there is at least one service and copies the list. */
     public RouteRule {
         shares = List.copyOf(shares);
         if (shares.isEmpty()) {
@@ -39,18 +41,18 @@
         }
     }
 
-    /** Returns whether a request that may have run can be sent again. */
+    /** Returns whether a request that may already have run may be sent again. */
     public boolean mayRepeat() {
         return kind == CallKind.IDEMPOTENT || (kind == CallKind.STREAM && resumable);
     }
 
-    /** Returns the service for a request, given a number drawn evenly from 0 to 1. */
+    /** Returns the service for a request, given a uniformly distributed random number from 0 to 1. */
     public String serviceFor(double draw) {
         double total = shares.stream().mapToDouble(ServiceShare::weight).sum();
-        double left = draw * total;
+        double remaining = draw * total;
         for (ServiceShare share : shares) {
-            left -= share.weight();
-            if (left < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
--- a/core/src/main/java/org/quetzalseam/core/routing/RouteTable.java
+++ b/core/src/main/java/org/quetzalseam/core/routing/RouteTable.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 
 /**
- * One version of the desired state, indexed for look-up. Immutable.
+ * One version of the desired state, indexed for lookup. Immutable.
  *
- * <p>A look-up walks the path's slashes from the longest prefix to the shortest, so its cost doesn't grow with the number
- * of routes.
+ * <p>A lookup tries the prefixes of the path from the longest to the shortest, so that its cost does not grow with the
+ * number of routes.
  */
 public final class RouteTable {
     private final long version;
@@ -19,7 +19,7 @@
     private final List<ServiceRule> services;
     private final Map<String, Map<String, RouteRule>> byHost = new HashMap<>();
 
-    /** Creates a table of one version's routes, services and limits. */
+    /** Creates a table of the routes, services and limits of one version. */
     public RouteTable(long version, List<RouteRule> routes, List<ServiceRule> services, CallerLimits limits) {
         this.version = version;
         this.limits = limits;
@@ -34,12 +34,12 @@
         return version;
     }
 
-    /** Returns what callers may send. */
+    /** Returns the limits for callers. */
     public CallerLimits limits() {
         return limits;
     }
 
-    /** Returns the services' settings. */
+    /** Returns the settings of the services. */
     public Collection<ServiceRule> services() {
         return services;
     }
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Returns the route with the longest prefix of the path.
+     * Returns the route of the host whose prefix is the longest that matches the path.
      *
      * @param host the request's host, with or without a port
-     * @param target the request's target: a path, with or without a query
+     * @param target the request target: a path, with or without a query
      */
     public Optional<RouteRule> find(String host, String target) {
         Map<String, RouteRule> routes = byHost.get(hostName(host));
--- a/core/src/main/java/org/quetzalseam/core/routing/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Which service a caller's request goes to: the routes, services and caller limits in force. */
+/** Routing of requests to services: the routes, services and caller limits of the desired state. */
 @NullMarked
 package org.quetzalseam.core.routing;
 
--- a/core/src/main/java/org/quetzalseam/core/store/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/store/package-info.java
@@ -1,4 +1,4 @@
-/** What a shared store says of itself. */
+/** Positions in the history of a shared store. */
 @NullMarked
 package org.quetzalseam.core.store;
 
--- a/core/src/test/java/org/quetzalseam/core/admission/WorkQueueTest.java
+++ b/core/src/test/java/org/quetzalseam/core/admission/WorkQueueTest.java
@@ -19,10 +19,10 @@
 
     private List<String> pollOwners() {
         List<String> owners = new ArrayList<>();
-        Optional<QueuedAttempt> next = queue.poll(ticket -> true);
+        Optional<QueuedAttempt> next = queue.poll(attempt -> true);
         while (next.isPresent()) {
             owners.add(next.get().owner());
-            next = queue.poll(ticket -> true);
+            next = queue.poll(attempt -> true);
         }
         return owners;
     }
@@ -63,24 +63,24 @@
 
     @Test
     void requestsOfOneOwnerAndClassKeepTheirOrder() {
-        List<AttemptId> sent = new ArrayList<>();
+        List<AttemptId> queued = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            QueuedAttempt ticket = attempt("a", WorkClass.LONG, 1, 10 - i);
-            sent.add(ticket.id());
-            queue.add(ticket);
+            QueuedAttempt attempt = attempt("a", WorkClass.LONG, 1, 10 - i);
+            queued.add(attempt.id());
+            queue.add(attempt);
         }
         List<AttemptId> served = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            served.add(queue.poll(ticket -> true).orElseThrow().id());
+            served.add(queue.poll(attempt -> true).orElseThrow().id());
         }
-        assertThat(served).isEqualTo(sent);
+        assertThat(served).isEqualTo(queued);
     }
 
     @Test
     void anAttemptThatCannotStartDoesNotBlockOtherClasses() {
         queue.add(attempt("a", WorkClass.SHORT, 1, 1));
         queue.add(attempt("b", WorkClass.LONG, 1, 1));
-        assertThat(queue.poll(ticket -> ticket.workClass() == WorkClass.LONG))
+        assertThat(queue.poll(attempt -> attempt.workClass() == WorkClass.LONG))
                 .get()
                 .extracting(QueuedAttempt::owner)
                 .isEqualTo("b");
@@ -104,8 +104,8 @@
         WorkQueue fifo = WorkQueue.fifo();
         fifo.add(attempt("a", WorkClass.LONG, 1, 1));
         fifo.add(attempt("b", WorkClass.SHORT, 1, 1));
-        assertThat(fifo.poll(ticket -> ticket.workClass() == WorkClass.SHORT)).isEmpty();
-        assertThat(fifo.poll(ticket -> true))
+        assertThat(fifo.poll(attempt -> attempt.workClass() == WorkClass.SHORT)).isEmpty();
+        assertThat(fifo.poll(attempt -> true))
                 .get()
                 .extracting(QueuedAttempt::owner)
                 .isEqualTo("a");
--- a/core/src/test/java/org/quetzalseam/core/fleet/MemberTableTest.java
+++ b/core/src/test/java/org/quetzalseam/core/fleet/MemberTableTest.java
@@ -10,12 +10,12 @@
 
     private final MemberTable table = new MemberTable(GRACE);
 
-    private static Member member(String id, boolean leaving) {
-        return member(id, 1, leaving);
+    private static Member member(String id, boolean draining) {
+        return member(id, 1, draining);
     }
 
-    private static Member member(String id, long startMillis, boolean leaving) {
-        return new Member(id, startMillis, "s", "10.0.0.1", 80, "z", 4, leaving, Stage.WHOLE);
+    private static Member member(String id, long startMillis, boolean draining) {
+        return new Member(id, startMillis, "s", "10.0.0.1", 80, "z", 4, draining, Stage.WHOLE);
     }
 
     @Test
--- a/core/src/test/java/org/quetzalseam/core/fleet/RejectionBackoffTest.java
+++ b/core/src/test/java/org/quetzalseam/core/fleet/RejectionBackoffTest.java
@@ -10,8 +10,8 @@
     private final RejectionBackoff engine = new RejectionBackoff(0);
 
     /**
-     * Sixteen prompts a second for an engine that turns all away for twelve seconds, as one that changes stage: without the
-     * record it gets all 192, as it always looks like the emptiest.
+     * Sends 16 prompts per second to an engine that rejects all of them for 12 seconds, as during a change of stage.
+     * Without the backoff it would get all 192, because it always looks like the least loaded engine.
      */
     @Test
     void anEngineThatRejectsAllWorkForTwelveSecondsGetsThreePrompts() {
@@ -23,7 +23,7 @@
             }
         }
         assertThat(sent).isEqualTo(3);
-        assertThat(engine.isExcluded(15 * SECOND)).as("tried again soon after").isFalse();
+        assertThat(engine.isExcluded(15 * SECOND)).as("used again soon after").isFalse();
     }
 
     @Test
@@ -47,13 +47,13 @@
 
     @Test
     void oneRejectionIsToleratedWhereAnotherEngineMayBeTheCause() {
-        RejectionBackoff reader = new RejectionBackoff(1);
-        reader.recordRejection(0);
-        assertThat(reader.isExcluded(1)).isFalse();
-        reader.recordAcceptance();
-        reader.recordRejection(2);
-        assertThat(reader.isExcluded(3)).isFalse();
-        reader.recordRejection(4);
-        assertThat(reader.isExcluded(5)).isTrue();
+        RejectionBackoff prefillEngine = new RejectionBackoff(1);
+        prefillEngine.recordRejection(0);
+        assertThat(prefillEngine.isExcluded(1)).isFalse();
+        prefillEngine.recordAcceptance();
+        prefillEngine.recordRejection(2);
+        assertThat(prefillEngine.isExcluded(3)).isFalse();
+        prefillEngine.recordRejection(4);
+        assertThat(prefillEngine.isExcluded(5)).isTrue();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/placement/PlacementTest.java
+++ b/core/src/test/java/org/quetzalseam/core/placement/PlacementTest.java
@@ -46,10 +46,10 @@
     @Test
     void affinityIsIgnoredWhenItsEndpointIsMuchBusier() {
         List<Candidate> even = List.of(new Candidate("a", "z", 5, 0), new Candidate("b", "z", 5, 0));
-        int home = Placement.prefixAffinity(100).choose(even, 77, "z");
+        int preferred = Placement.prefixAffinity(100).choose(even, 77, "z");
         List<Candidate> busy = new ArrayList<>(even);
-        busy.set(home, new Candidate(even.get(home).id(), "z", 5, 101));
-        assertThat(Placement.prefixAffinity(100).choose(busy, 77, "z")).isEqualTo(1 - home);
+        busy.set(preferred, new Candidate(even.get(preferred).id(), "z", 5, 101));
+        assertThat(Placement.prefixAffinity(100).choose(busy, 77, "z")).isEqualTo(1 - preferred);
     }
 
     @Test
