--- a/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueParser.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueParser.java
@@ -19,11 +19,11 @@
  */
 public final class CatalogueParser {
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9.-]{0,62}");
-    private static final Pattern DIGEST = Pattern.compile("[0-9a-f]{64}");
+    private static final Pattern TOKEN_DIGEST = Pattern.compile("[0-9a-f]{64}");
     private static final Pattern METHOD = Pattern.compile("[A-Z]{3,10}");
     private static final List<String> SECTION_KINDS = List.of("owner", "model", "service", "entry");
     private static final int MILLIS_PER_DAY = 86_400_000;
-    private static final int MILLION = 1_000_000;
+    private static final int MAX_COUNT = 1_000_000;
 
     private final List<Problem> problems = new ArrayList<>();
     private final Map<String, OwnerSpec> owners = new HashMap<>();
@@ -101,7 +101,7 @@
     private static OwnerSpec owner(IniSection section, String name) {
         List<String> digests = section.list("token-sha256");
         for (String digest : digests) {
-            if (!DIGEST.matcher(digest).matches()) {
+            if (!TOKEN_DIGEST.matcher(digest).matches()) {
                 section.report("token-sha256", "expected 64 lower-case hexadecimal digits");
             }
         }
@@ -120,11 +120,11 @@
                 section.integer("steady-output-ms", 69, 1, MILLIS_PER_DAY));
         Limits limits = new Limits(
                 section.positive("rate-per-second", 100),
-                section.integer("concurrency", 100, 1, MILLION),
-                section.integer("queue-length", 100, 1, MILLION),
+                section.integer("concurrency", 100, 1, MAX_COUNT),
+                section.integer("queue-length", 100, 1, MAX_COUNT),
                 section.integer("queue-wait-ms", targets.firstOutputMillis(), 1, MILLIS_PER_DAY),
-                section.integer("max-prompt-tokens", 8000, 1, MILLION),
-                section.integer("max-output-tokens", 1000, 1, MILLION));
+                section.integer("max-prompt-tokens", 8000, 1, MAX_COUNT),
+                section.integer("max-output-tokens", 1000, 1, MAX_COUNT));
         return new EntrySpec(
                 name,
                 section.text("owner"),
--- a/core/src/test/java/org/quetzalseam/core/attempt/AttemptTableTest.java
+++ b/core/src/test/java/org/quetzalseam/core/attempt/AttemptTableTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 class AttemptTableTest {
-    private static final long LEASE = 100;
+    private static final long LEASE_NANOS = 100;
     private static final AttemptId ID = new AttemptId(1, 2, 1);
 
-    private final AttemptTable<String> table = new AttemptTable<>(LEASE, 1000);
+    private final AttemptTable<String> table = new AttemptTable<>(LEASE_NANOS, 1000);
 
     @Test
     void anAttemptThatWasSealedBeforeItArrivedIsRefused() {
@@ -45,31 +45,31 @@
     @Test
     void anAttemptWhoseLeaseHasExpiredDoesNotStart() {
         table.offer(ID, "work", 0);
-        assertThat(table.start(ID, LEASE + 1)).isFalse();
+        assertThat(table.start(ID, LEASE_NANOS + 1)).isFalse();
     }
 
     @Test
     void anExpiredAttemptIsReturnedOnceAndNeverStarts() {
         table.offer(ID, "work", 0);
-        assertThat(table.expireLeases(LEASE + 1)).containsExactly("work");
-        assertThat(table.expireLeases(LEASE + 2)).isEmpty();
-        table.renew(List.of(ID), LEASE + 3);
-        assertThat(table.start(ID, LEASE + 4)).isFalse();
+        assertThat(table.expireLeases(LEASE_NANOS + 1)).containsExactly("work");
+        assertThat(table.expireLeases(LEASE_NANOS + 2)).isEmpty();
+        table.renew(List.of(ID), LEASE_NANOS + 3);
+        assertThat(table.start(ID, LEASE_NANOS + 4)).isFalse();
     }
 
     @Test
     void aRenewedAttemptDoesNotExpire() {
         table.offer(ID, "work", 0);
-        table.renew(List.of(ID), LEASE);
-        assertThat(table.expireLeases(LEASE + 1)).isEmpty();
-        assertThat(table.start(ID, LEASE + 2)).isTrue();
+        table.renew(List.of(ID), LEASE_NANOS);
+        assertThat(table.expireLeases(LEASE_NANOS + 1)).isEmpty();
+        assertThat(table.start(ID, LEASE_NANOS + 2)).isTrue();
     }
 
     @Test
     void leasesDoNotExpireBecauseTheGrantingProcessWasPaused() {
         table.offer(ID, "work", 0);
-        table.renewAll(5 * LEASE);
-        assertThat(table.expireLeases(6 * LEASE)).isEmpty();
+        table.renewAll(5 * LEASE_NANOS);
+        assertThat(table.expireLeases(6 * LEASE_NANOS)).isEmpty();
     }
 
     @Test
--- a/core/src/test/java/org/quetzalseam/core/catalogue/CatalogueInForceTest.java
+++ b/core/src/test/java/org/quetzalseam/core/catalogue/CatalogueInForceTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class CatalogueInForceTest {
-    private static final Duration LONG = Duration.ofSeconds(30);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(30);
 
     private static CatalogueInForce.Accepted version(long version) {
         return new CatalogueInForce.Accepted(new Manifest(version, 0, "", Map.of()), Map.of(), Catalogue.empty());
@@ -17,7 +17,7 @@
     @Test
     void aCallerWaitsUntilACatalogueIsInForce() {
         CatalogueInForce inForce = new CatalogueInForce();
-        CompletableFuture<Boolean> early = CompletableFuture.supplyAsync(() -> inForce.awaitFirst(LONG));
+        CompletableFuture<Boolean> early = CompletableFuture.supplyAsync(() -> inForce.awaitFirst(MAX_WAIT));
         assertThat(early).isNotDone();
         assertThat(inForce.offer(version(3))).isTrue();
         assertThat(early.join()).isTrue();
--- a/core/src/test/java/org/quetzalseam/core/fleet/EndpointHealthTest.java
+++ b/core/src/test/java/org/quetzalseam/core/fleet/EndpointHealthTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointHealthTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final EndpointHealth health = new EndpointHealth();
 
@@ -38,24 +38,24 @@
             health.recordFailure(i);
         }
         assertThat(health.isSuspect(6)).isTrue();
-        assertThat(health.isSuspect(6 * SECOND)).isFalse();
+        assertThat(health.isSuspect(6 * SECOND_NANOS)).isFalse();
     }
 
     @Test
     void threeConsecutiveTimeoutsSecondsApartMakeAnEndpointSuspect() {
-        health.recordFailure(3 * SECOND);
-        health.recordFailure(6 * SECOND);
-        health.recordFailure(9 * SECOND);
-        assertThat(health.isSuspect(10 * SECOND)).isTrue();
-        assertThat(health.isSuspect(12 * SECOND)).isFalse();
+        health.recordFailure(3 * SECOND_NANOS);
+        health.recordFailure(6 * SECOND_NANOS);
+        health.recordFailure(9 * SECOND_NANOS);
+        assertThat(health.isSuspect(10 * SECOND_NANOS)).isTrue();
+        assertThat(health.isSuspect(12 * SECOND_NANOS)).isFalse();
     }
 
     @Test
     void anAnswerBetweenTimeoutsResetsTheCount() {
-        health.recordFailure(3 * SECOND);
-        health.recordFailure(6 * SECOND);
-        health.recordSuccess(7 * SECOND, 10);
-        health.recordFailure(9 * SECOND);
-        assertThat(health.isSuspect(10 * SECOND)).isFalse();
+        health.recordFailure(3 * SECOND_NANOS);
+        health.recordFailure(6 * SECOND_NANOS);
+        health.recordSuccess(7 * SECOND_NANOS, 10);
+        health.recordFailure(9 * SECOND_NANOS);
+        assertThat(health.isSuspect(10 * SECOND_NANOS)).isFalse();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/fleet/MemberTableTest.java
+++ b/core/src/test/java/org/quetzalseam/core/fleet/MemberTableTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 class MemberTableTest {
-    private static final long GRACE = 1_000;
+    private static final long GRACE_NANOS = 1_000;
 
-    private final MemberTable table = new MemberTable(GRACE);
+    private final MemberTable table = new MemberTable(GRACE_NANOS);
 
     private static Member member(String id, boolean draining) {
         return member(id, 1, draining);
@@ -37,7 +37,7 @@
         table.put(member("a", 2, false));
         table.remove("a", 0, true);
         table.put(member("a", 1, false));
-        assertThat(table.expire(GRACE)).containsExactly("a");
+        assertThat(table.expire(GRACE_NANOS)).containsExactly("a");
     }
 
     @Test
@@ -94,9 +94,9 @@
     void aRegistrationThatLapsedDuringAStoreOutageIsKeptForTheGracePeriod() {
         table.put(member("a", false));
         table.remove("a", 0, true);
-        assertThat(table.expire(GRACE - 1)).isEmpty();
+        assertThat(table.expire(GRACE_NANOS - 1)).isEmpty();
         assertThat(table.all()).hasSize(1);
-        assertThat(table.expire(GRACE)).containsExactly("a");
+        assertThat(table.expire(GRACE_NANOS)).containsExactly("a");
         assertThat(table.all()).isEmpty();
     }
 
@@ -105,7 +105,7 @@
         table.put(member("a", false));
         table.remove("a", 0, true);
         table.put(member("a", false));
-        assertThat(table.expire(10 * GRACE)).isEmpty();
+        assertThat(table.expire(10 * GRACE_NANOS)).isEmpty();
         assertThat(table.all()).hasSize(1);
     }
 
@@ -120,7 +120,7 @@
     void aSecondListingDoesNotExtendTheGracePeriod() {
         table.put(member("a", false));
         table.replaceAll(List.of(), 0, true);
-        table.replaceAll(List.of(), GRACE - 1, true);
-        assertThat(table.expire(GRACE)).containsExactly("a");
+        table.replaceAll(List.of(), GRACE_NANOS - 1, true);
+        assertThat(table.expire(GRACE_NANOS)).containsExactly("a");
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/fleet/RejectionBackoffTest.java
+++ b/core/src/test/java/org/quetzalseam/core/fleet/RejectionBackoffTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class RejectionBackoffTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final RejectionBackoff engine = new RejectionBackoff(0);
 
@@ -16,25 +16,27 @@
     @Test
     void anEngineThatRejectsAllWorkForTwelveSecondsGetsThreePrompts() {
         int sent = 0;
-        for (long now = 0; now < 12 * SECOND; now += SECOND / 16) {
+        for (long now = 0; now < 12 * SECOND_NANOS; now += SECOND_NANOS / 16) {
             if (!engine.isExcluded(now)) {
                 sent++;
                 engine.recordRejection(now);
             }
         }
         assertThat(sent).isEqualTo(3);
-        assertThat(engine.isExcluded(15 * SECOND)).as("used again soon after").isFalse();
+        assertThat(engine.isExcluded(15 * SECOND_NANOS))
+                .as("used again soon after")
+                .isFalse();
     }
 
     @Test
     void anEngineThatAcceptsWorkAgainIsUsedAtOnceAndItsBackoffIsReset() {
         engine.recordRejection(0);
-        engine.recordRejection(3 * SECOND);
+        engine.recordRejection(3 * SECOND_NANOS);
         engine.recordAcceptance();
-        assertThat(engine.isExcluded(3 * SECOND)).isFalse();
-        engine.recordRejection(4 * SECOND);
-        assertThat(engine.isExcluded(5 * SECOND)).isTrue();
-        assertThat(engine.isExcluded(6 * SECOND)).isFalse();
+        assertThat(engine.isExcluded(3 * SECOND_NANOS)).isFalse();
+        engine.recordRejection(4 * SECOND_NANOS);
+        assertThat(engine.isExcluded(5 * SECOND_NANOS)).isTrue();
+        assertThat(engine.isExcluded(6 * SECOND_NANOS)).isFalse();
     }
 
     @Test
@@ -42,7 +44,7 @@
         for (int i = 0; i < 10; i++) {
             engine.recordRejection(i);
         }
-        assertThat(engine.isExcluded(2 * SECOND + 1)).isFalse();
+        assertThat(engine.isExcluded(2 * SECOND_NANOS + 1)).isFalse();
     }
 
     @Test
