--- a/core/src/main/java/org/quetzalseam/core/drain/AnswerTimeModel.java
+++ b/core/src/main/java/org/quetzalseam/core/drain/AnswerTimeModel.java
@@ -2,11 +2,11 @@
 
 import org.quetzalseam.core.generation.OutputLengthModel;
 
-/** Learns how long the answers of one route take, so that the next one's end can be foretold. Not thread-safe. */
+/** Predicts how long answers of one route take, from the answers recorded. Not thread-safe. */
 public final class AnswerTimeModel {
     /**
-     * Answers before the first bound is given. Below that the model rests on its assumptions more than on what it has seen; a busy
-     * route has them within seconds.
+     * Minimum number of answers before a bound is given. With fewer, the model relies on its assumptions more than on recorded
+     * answers; a busy route has this many within seconds.
      */
     private static final int MIN_ANSWERS = 8;
 
@@ -14,10 +14,10 @@
     private int answers;
 
     /**
-     * Notes a whole answer.
+     * Records a complete answer.
      *
-     * @param estimate what the caller said of its size, in any unit; the same for all where callers say nothing
-     * @param millis how long it took, from the moment at which it was begun to its end
+     * @param estimate the caller's estimate of its size, in any unit; the same for all where callers give none
+     * @param millis how long it took from its beginning to its end
      */
     public void recordAnswer(double estimate, long millis) {
         model.recordLength(Math.max(1, estimate), (double) Math.max(1, millis));
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Returns the time that an answer ends within, in milliseconds, or {@link Long#MAX_VALUE} as long as too few have been seen.
+     * Returns the time within which an answer ends, in milliseconds, or {@link Long#MAX_VALUE} while too few have been recorded.
      *
-     * @param estimate what the caller says of its size
-     * @param deviations how sure that is, in standard deviations: 1.28 for nine in ten
+     * @param estimate the caller's estimate of its size
+     * @param deviations how many standard deviations above the median: 1.28 for nine in ten
      */
     public long boundMillis(double estimate, double deviations) {
         if (answers < MIN_ANSWERS) {
--- a/core/src/main/java/org/quetzalseam/core/drain/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/drain/package-info.java
@@ -1,4 +1,4 @@
-/** Leaving as planned: what a process that has been told to stop still takes, and when it may end. */
+/** Graceful shutdown: which requests a draining process still accepts, and when it may end. */
 @NullMarked
 package org.quetzalseam.core.drain;
 
--- a/core/src/main/java/org/quetzalseam/core/generation/EntryPrefillShare.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/EntryPrefillShare.java
@@ -1,33 +1,44 @@
 package org.quetzalseam.core.generation;
 
 /**
- * How many prompt tokens one of several entries begins in a time, so that all together begin about what the engines can read. Not
- * thread-safe.
+ * Limits the rate of prompt tokens that one of several entries sends for prefill, so that all entries together send about as
+ * much as the engines can prefill. Not thread-safe; times are monotonic and passed in, in nanoseconds.
  *
- * <p>An answer tells of a queue as it was when its prompt joined it. Entries that go by that alone all begin too much until
- * the first slow answers come, and then too little. So each has a share of what the pool can read: an equal one in any case, and
- * more while answers show that others leave theirs. A prompt may be larger than what is left of the share; its rest is a debt.
+ * <p>An answer shows the queue as it was when its prompt joined it. Entries that relied on answers alone would all send too much
+ * until the first slow answers arrive, and then too little. So each entry has a share of the pool's prefill rate: an equal share
+ * in any case, and more while answers show that others do not use theirs. A prompt may be larger than what remains of the share;
+ * the excess is a debt.
  */
 final class EntryPrefillShare {
-    /** Change with an answer that found a short queue: doubles in some four. */
+    /** Factor for an answer that found a short queue: doubles the share in about four answers. */
     private static final double INCREASE_FACTOR = 1.2;
-    /** Change with an answer that found a long queue: halves in three, as a queue grows faster than it is worked off. */
+    /**
+     * Factor for an answer that found a long queue: halves the share in three answers, because a queue grows faster than it is
+     * worked off.
+     */
     private static final double DECREASE_FACTOR = 0.8;
-    /** Part of the time for a reading in time below which the queue counts as short. */
+    /** Share of the time available for a prefill that meets the objective, below which the queue counts as short. */
     private static final double SHORT_QUEUE_SHARE = 0.5;
-    /** Part of it above which the queue counts as long: what is left is for prompts longer than usual. */
+    /** Share of the same time above which the queue counts as long: the rest is for prompts longer than usual. */
     private static final double LONG_QUEUE_SHARE = 0.75;
-    /** The same two in multiples of a reading without a queue, where that alone takes most of the time. */
+    /**
+     * Time below which the queue counts as short, as a multiple of a prefill without a queue, where that alone takes most of the
+     * available time.
+     */
     private static final double SHORT_QUEUE_PREFILLS = 1.5;
 
+    /** Time above which the queue counts as long, in the same multiples and the same case. */
     private static final double LONG_QUEUE_PREFILLS = 3;
-    /** Multiple of the equal share at first; takes some ten answers to reach what the load allows. */
+    /** Initial multiple of the equal share; it takes about ten answers to reach what the load allows. */
     private static final double FIRST_MULTIPLE = 2;
 
-    /** The least multiple: a queue that is too long has to become shorter, not only to grow no more. */
+    /** Minimum multiple of the equal share: below 1, because a queue that is too long has to become shorter, not only stop growing. */
     private static final double MIN_MULTIPLE = 0.5;
 
-    /** Age of a long answer from which it says nothing, in bearable waits: some queues' lengths. */
+    /**
+     * Age from which the last answer that found a long queue no longer counts, as a multiple of the longest acceptable backlog:
+     * the time of several queue lengths.
+     */
     private static final double STALE_BACKLOGS = 4;
 
     private int entries = 1;
@@ -37,12 +48,19 @@
     private boolean filled;
     private long reducedAt;
 
-    /** Sets among how many entries the pool is shared. */
-    void updateEntryCount(int counted) {
-        entries = Math.max(1, counted);
+    /** Sets the number of entries that share the pool. */
+    void updateEntryCount(int entryCount) {
+        entries = Math.max(1, entryCount);
     }
 
-    /** Notes how long a reading took, how long it takes alone, and how long it may take for those in time. */
+    /**
+     * Records a prefill.
+     *
+     * @param millis how long it took
+     * @param aloneMillis how long it takes without a queue
+     * @param inTimeMillis how long it may take to meet the objective
+     * @param now the monotonic time, in nanoseconds
+     */
     void recordPrefill(double millis, double aloneMillis, double inTimeMillis, long now) {
         if (millis > Math.max(LONG_QUEUE_SHARE * inTimeMillis, LONG_QUEUE_PREFILLS * aloneMillis)) {
             reducedAt = now;
@@ -52,38 +70,49 @@
         }
     }
 
-    /** A long queue that no answer tells of any more has been worked off: who is kept from asking gets no answers. */
-    private void resetStaleReduction(double bearableMillis, long now) {
-        if (multiple < 1 && (now - reducedAt) / 1e6 > STALE_BACKLOGS * bearableMillis) {
+    /**
+     * Restores the equal share once the last answer that found a long queue is old. The queue has been worked off by then, but no
+     * answer can show it, because an entry that may not send prompts gets no answers.
+     */
+    private void resetStaleReduction(double maxBacklogMillis, long now) {
+        if (multiple < 1 && (now - reducedAt) / 1e6 > STALE_BACKLOGS * maxBacklogMillis) {
             multiple = 1;
             reducedAt = now;
         }
     }
 
-    /** Returns whether others leave so much that this entry needs no share to use an engine that seems idle. */
+    /** Returns whether others leave so much unused that this entry may use an engine that seems idle regardless of its share. */
     boolean hasSurplus() {
         return multiple > 1;
     }
 
-    /** Returns whether one more prompt may begin, with so much of the share left besides, from 0 to 1. */
-    boolean allows(double tokensPerMilli, double bearableMillis, double besides, long now) {
-        resetStaleReduction(bearableMillis, now);
+    /**
+     * Returns whether one more prompt may begin.
+     *
+     * @param tokensPerMilli prefill rate of the whole pool
+     * @param maxBacklogMillis longest acceptable backlog; the share accumulates over this time at most
+     * @param reserve part of the accumulated share that has to remain, from 0 to 1
+     * @param now the monotonic time, in nanoseconds
+     */
+    boolean allows(double tokensPerMilli, double maxBacklogMillis, double reserve, long now) {
+        resetStaleReduction(maxBacklogMillis, now);
         double rate = tokensPerMilli * Math.min(multiple, entries) / entries;
-        double most = rate * bearableMillis;
-        tokens = filled ? Math.min(most, tokens + rate * (now - filledAt) / 1e6) : most;
+        double maxTokens = rate * maxBacklogMillis;
+        tokens = filled ? Math.min(maxTokens, tokens + rate * (now - filledAt) / 1e6) : maxTokens;
         filledAt = now;
         filled = true;
-        return tokens >= besides * most;
+        return tokens >= reserve * maxTokens;
     }
 
-    /** Returns what is left of the share, in tokens; below 0 it is a debt. */
+    /** Returns the tokens that remain of the share; a negative number is a debt. */
     double remainingTokens() {
         return tokens;
     }
 
-    void spend(int prompt) {
+    /** Deducts a prompt's tokens from the share. */
+    void spend(int promptTokens) {
         if (filled) {
-            tokens -= prompt;
+            tokens -= promptTokens;
         }
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/MemoryBooking.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/MemoryBooking.java
@@ -1,11 +1,11 @@
 package org.quetzalseam.core.generation;
 
 /**
- * How much decode memory to book for a generation before its prompt is read. Not thread-safe.
+ * Computes how much decode memory to book for a generation before its prefill. Not thread-safe.
  *
- * <p>Booking too little lets an engine preempt a generation and read it in again, which wastes more than the generation is
- * worth; booking too much leaves memory idle. So two sizes are told apart: a generation is admitted where it would fit even if
- * it got long, but only its usual size stays booked. What the others leave of that room serves those who do get long.
+ * <p>Booking too little makes an engine preempt a generation and prefill it again, which wastes more than the generation is
+ * worth; booking too much leaves memory idle. So there are two sizes: a generation is admitted only where it would fit even if
+ * it became long, but only its usual size stays booked. The headroom that short generations leave serves those that become long.
  */
 public final class MemoryBooking {
     private final OutputLengthModel lengths = new OutputLengthModel();
@@ -14,11 +14,12 @@
     private final int blockTokens;
 
     /**
-     * Creates a policy.
+     * Creates a booking policy.
      *
      * @param bookedDeviations standard deviations above the median length that stay booked
-     * @param admittedDeviations standard deviations above it that must be free on admission, no fewer
-     * @param blockTokens tokens that engines hand out memory by
+     * @param admittedDeviations standard deviations above the median length that must be free on admission, at least
+     *     {@code bookedDeviations}
+     * @param blockTokens size in tokens of the blocks in which engines allocate memory
      */
     public MemoryBooking(double bookedDeviations, double admittedDeviations, int blockTokens) {
         if (!(admittedDeviations >= bookedDeviations)) {
@@ -30,7 +31,7 @@
         this.blockTokens = blockTokens;
     }
 
-    /** Notes a generation that ended as it should, and its length in any unit, the same for all. */
+    /** Records the length of a generation that ended normally, in any unit, the same for all. */
     public void recordLength(TokenDemand demand, double length) {
         lengths.recordLength(demand.expectedOutput(), length);
     }
@@ -40,13 +41,13 @@
         return roundUpToBlocks(demand.prompt() + outputTokens(demand, bookedDeviations));
     }
 
-    /** Returns the tokens that must be free beside those that are booked. */
+    /** Returns the tokens that must be free on admission in addition to those that are booked. */
     public int headroomTokens(TokenDemand demand) {
         return roundUpToBlocks(outputTokens(demand, admittedDeviations) - outputTokens(demand, bookedDeviations));
     }
 
     /**
-     * Returns what a generation is expected to cost, in tokens of memory times tokens of output: it holds its prompt, and on
+     * Returns the expected cost of a generation, in tokens of memory times tokens of output: it holds its prompt, and on
      * average half of its output, for as long as its output takes.
      */
     public double expectedCost(TokenDemand demand) {
--- a/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
@@ -4,18 +4,18 @@
 import org.quetzalseam.core.store.StorePosition;
 
 /**
- * What one process knows of a lease that is a record in a shared store: who holds it, and when it may be taken over or used.
- * Not thread-safe.
+ * Tracks, in one process, a lease that is a record in a shared store: who holds it, and when it may be taken over or used to
+ * send orders. Not thread-safe.
  *
- * <p>The record's position rises with each renewal. A process takes a lease over when its position has stood still for far
- * longer than a holder lets pass between renewals, by its own monotonic clock; the take-over is conditional on that position,
- * so that one process wins. An order is given only right after a renewal, and by a new holder only when any order of the
- * holder before it is long past.
+ * <p>The record's position rises with each renewal. A process takes a lease over when that position has not
+ * changed for much longer than the renewal interval, by its own monotonic clock; the takeover is conditional on that position,
+ * so that only one process wins. A holder sends an order only right after a renewal, and a new holder only once any order of the
+ * previous holder has long been processed.
  */
 public final class OrderLease {
-    /** Renewals that may be missed before the lease is taken over. */
+    /** Number of renewals that may be missed before the lease is taken over. */
     private static final int MISSED_RENEWALS = 3;
-    /** How long after the start of a renewal an order may leave: well within the shortest lease. */
+    /** How long after the start of a renewal an order may be sent: well within the shortest lease. */
     private static final long ORDER_VALID_MILLIS = 1_000;
 
     private final String self;
@@ -31,19 +31,19 @@
     private boolean hasRenewed;
 
     /**
-     * Creates a view of a lease that has not been read yet.
+     * Creates the state of a lease that has not been read yet.
      *
-     * @param self this process's name
-     * @param renewMillis how often a holder renews it
+     * @param self the name of this process
+     * @param renewMillis interval at which a holder renews it
      * @param firstOrderDelayMillis how long a new holder waits before its first order
      */
-    public OrderLease(String self, long renewMillis, long quietMillis) {
+    public OrderLease(String self, long renewMillis, long firstOrderDelayMillis) {
         this.self = self;
         this.renewMillis = renewMillis;
-        this.firstOrderDelayMillis = quietMillis;
+        this.firstOrderDelayMillis = firstOrderDelayMillis;
     }
 
-    /** Notes the record as read or written. */
+    /** Records the lease record as read or written; ignored if it is not newer than the last one. */
     public void observe(String recordHolder, long recordEpoch, StorePosition recordPosition, long now) {
         if (!position.isBefore(recordPosition)) {
             return;
@@ -54,23 +54,23 @@
         positionChangedAt = now;
     }
 
-    /** Returns whether the record has been read, or written, since the start. */
+    /** Returns whether the record has been read or written since the process started. */
     public boolean isKnown() {
         return !position.equals(StorePosition.NONE);
     }
 
-    /** Forgets the record: what is read next is believed, whatever its position. */
+    /** Discards the known record: the next one that is read is accepted whatever its position. */
     public void forget() {
         holder = "";
         position = StorePosition.NONE;
     }
 
-    /** Returns the record's newest position. */
+    /** Returns the newest known position of the record. */
     public StorePosition position() {
         return position;
     }
 
-    /** Returns the number of the present holding; it rises with each take-over. */
+    /** Returns the epoch of the current holding; it rises with each takeover. */
     public long epoch() {
         return epoch;
     }
@@ -80,37 +80,42 @@
         return isKnown() && holder.equals(self);
     }
 
-    /** Returns whether the holder has been silent for so long that the lease may be taken over. */
+    /** Returns whether the holder has not renewed the lease for so long that it may be taken over. */
     public boolean hasLapsed(long now) {
-        long silent = TimeUnit.NANOSECONDS.toMillis(now - positionChangedAt);
-        return isKnown() && !isHeld() && silent > MISSED_RENEWALS * renewMillis;
+        long unchangedMillis = TimeUnit.NANOSECONDS.toMillis(now - positionChangedAt);
+        return isKnown() && !isHeld() && unchangedMillis > MISSED_RENEWALS * renewMillis;
     }
 
-    /** Notes that this process has taken the lease; {@code after} tells whether another one held it before. */
-    public void acquired(boolean after, long now) {
-        ordersFrom = after ? now + TimeUnit.MILLISECONDS.toNanos(firstOrderDelayMillis) : now;
+    /**
+     * Records that this process has acquired the lease.
+     *
+     * @param heldBefore whether another process held it before
+     * @param now the monotonic time, in nanoseconds
+     */
+    public void acquired(boolean heldBefore, long now) {
+        ordersFrom = heldBefore ? now + TimeUnit.MILLISECONDS.toNanos(firstOrderDelayMillis) : now;
     }
 
     /**
-     * Notes a renewal that the store has confirmed.
+     * Records a renewal that the store has confirmed.
      *
-     * @param sentSteady monotonic time in nanoseconds at which it was sent
-     * @param sentWall time of day in milliseconds at which it was sent
+     * @param sentMonotonicNanos monotonic time at which it was sent, in nanoseconds
+     * @param sentWallMillis time of day at which it was sent, in milliseconds
      */
-    public void renewed(long sentSteady, long sentWall) {
+    public void renewed(long sentMonotonicNanos, long sentWallMillis) {
         hasRenewed = true;
-        renewedMonotonicNanos = sentSteady;
-        renewedWallMillis = sentWall;
+        renewedMonotonicNanos = sentMonotonicNanos;
+        renewedWallMillis = sentWallMillis;
     }
 
     /**
-     * Returns whether an order may leave now. Both clocks have to agree that the renewal is recent: the monotonic one doesn't
-     * count the time for which a machine was suspended, and the time of day may jump.
+     * Returns whether an order may be sent now. Both clocks have to agree that the renewal is recent, because the monotonic one
+     * does not count the time for which a machine was suspended, and the time of day may jump.
      */
-    public boolean mayOrder(long steady, long wall) {
-        long sinceSteady = TimeUnit.NANOSECONDS.toMillis(steady - renewedMonotonicNanos);
-        long sinceWall = wall - renewedWallMillis;
-        boolean recent = sinceSteady <= ORDER_VALID_MILLIS && Math.abs(sinceWall) <= ORDER_VALID_MILLIS;
-        return isHeld() && hasRenewed && recent && steady - ordersFrom >= 0;
+    public boolean mayOrder(long monotonicNanos, long wallMillis) {
+        long monotonicAgeMillis = TimeUnit.NANOSECONDS.toMillis(monotonicNanos - renewedMonotonicNanos);
+        long wallAgeMillis = wallMillis - renewedWallMillis;
+        boolean recent = monotonicAgeMillis <= ORDER_VALID_MILLIS && Math.abs(wallAgeMillis) <= ORDER_VALID_MILLIS;
+        return isHeld() && hasRenewed && recent && monotonicNanos - ordersFrom >= 0;
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/PrefillQueue.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/PrefillQueue.java
@@ -6,39 +6,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Prompts of one entry that wait until the engines have time for them, and the order in which they are begun. Not thread-safe; time
- * is passed in, in nanoseconds.
+ * Queue of one entry's prompts that wait until the engines have time for them, ordered as their prefills are to begin. Not
+ * thread-safe; times are monotonic and passed in, in nanoseconds.
  *
- * <p>A burst of seconds brings more than the engines read in it, and the lull after it less. Whoever waits here can be answered
- * late, in the lull; refused, the caller comes back as one that seems new, and takes the place of one that could be in time. So
- * those who can be in time go first, the most urgent of them before the others, and the late follow as they came.
+ * <p>A burst of some seconds brings more prompts than the engines can prefill in it, and the lull after it fewer. A prompt that
+ * waits here can be answered late, in the lull; if it were refused, its caller would retry with a request that looks new, and take
+ * the place of a prompt that could be in time. So prompts that can be in time go first, the most urgent before the others, and
+ * late ones follow in the order of their arrival.
  *
- * @param <T> what waits
+ * @param <T> the type of queued prompts
  */
 public final class PrefillQueue<T> {
     /**
-     * Part of the time that its caller stays without an event for which a prompt waits at most. The rest is for memory, reading and the
-     * first event: of a silence of four objectives of 0.9 s that leaves 1.3 s, more than an objective. Other shares weren't measured.
+     * Maximum wait of a prompt, as a share of the time that its caller waits without an event. The rest is for booking memory,
+     * prefill and the first event: of a caller timeout of four objectives of 0.9 s that leaves 1.3 s, more than an objective.
      */
     private static final double MAX_WAIT_SHARE = 0.65;
 
     private final List<Position> positions = new ArrayList<>();
 
-    /** One prompt's place in the line. Its times are monotonic, in nanoseconds. */
+    /** One prompt's position in the queue. */
     public final class Position {
         private final T prompt;
         private final long queuedAt;
         private final long objectiveAt;
         private final long expiresAt;
 
-        Position(T waiting, PrefillPlanner.Deadline due, long now) {
-            this.prompt = waiting;
+        Position(T prompt, PrefillPlanner.Deadline deadline, long now) {
+            this.prompt = prompt;
             this.queuedAt = now;
-            this.objectiveAt = now + nanos(due.untilObjectiveMillis());
-            this.expiresAt = now + nanos(MAX_WAIT_SHARE * due.untilAbandonedMillis());
+            this.objectiveAt = now + nanos(deadline.untilObjectiveMillis());
+            this.expiresAt = now + nanos(MAX_WAIT_SHARE * deadline.untilAbandonedMillis());
         }
 
-        /** Returns what waits. */
+        /** Returns the queued prompt. */
         public T prompt() {
             return prompt;
         }
@@ -48,7 +49,7 @@
             return TimeUnit.NANOSECONDS.toMillis(now - queuedAt);
         }
 
-        /** Returns whether it has waited as long as is of use to its caller. */
+        /** Returns whether it has waited so long that an answer would no longer be of use to its caller. */
         public boolean hasExpired(long now) {
             return now - expiresAt >= 0;
         }
@@ -62,40 +63,41 @@
         return Math.round(millis * TimeUnit.MILLISECONDS.toNanos(1));
     }
 
-    /** Takes a prompt into the line. */
-    public Position add(T waiting, PrefillPlanner.Deadline due, long now) {
-        Position place = new Position(waiting, due, now);
-        positions.add(place);
-        return place;
+    /** Adds a prompt to the queue. */
+    public Position add(T prompt, PrefillPlanner.Deadline deadline, long now) {
+        Position position = new Position(prompt, deadline, now);
+        positions.add(position);
+        return position;
     }
 
-    /** Takes a prompt out of the line. Harmless when it isn't in it. */
-    public void remove(Position place) {
-        positions.remove(place);
+    /** Removes a prompt from the queue. Does nothing if it is not in the queue. */
+    public void remove(Position position) {
+        positions.remove(position);
     }
 
-    /** Returns whether nothing waits. */
+    /** Returns whether the queue is empty. */
     public boolean isEmpty() {
         return positions.isEmpty();
     }
 
-    /** Returns how many wait. */
+    /** Returns the number of queued prompts. */
     public int size() {
         return positions.size();
     }
 
-    /** Returns whether a prompt that comes now has to let others begin first. */
-    public boolean mustQueue(PrefillPlanner.Deadline due, long now) {
-        return due.untilObjectiveMillis() > 0
-                ? positions.stream().anyMatch(place -> !place.isLate(now))
+    /** Returns whether a prompt that arrives now has to queue behind others. */
+    public boolean mustQueue(PrefillPlanner.Deadline deadline, long now) {
+        return deadline.untilObjectiveMillis() > 0
+                ? positions.stream().anyMatch(position -> !position.isLate(now))
                 : !positions.isEmpty();
     }
 
-    /** Returns those who wait, in the order in which they are to be begun. */
+    /** Returns the queued prompts in the order in which their prefills are to begin. */
     public List<Position> inOrder(long now) {
-        List<Position> order = new ArrayList<>(positions);
-        order.sort(Comparator.<Position, Boolean>comparing(place -> place.isLate(now))
-                .thenComparingLong(place -> place.isLate(now) ? place.queuedAt - now : place.objectiveAt - now));
-        return order;
+        List<Position> sorted = new ArrayList<>(positions);
+        sorted.sort(Comparator.<Position, Boolean>comparing(position -> position.isLate(now))
+                .thenComparingLong(
+                        position -> position.isLate(now) ? position.queuedAt - now : position.objectiveAt - now));
+        return sorted;
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/StageSplit.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/StageSplit.java
@@ -7,30 +7,34 @@
 import org.quetzalseam.core.fleet.Stage;
 
 /**
- * Decides how many of a service's engines read prompts and how many decode. Not thread-safe.
+ * Decides how many of a service's engines prefill and how many decode. Not thread-safe.
  *
- * <p>Before any load has been seen it follows the share that the operators assume. Then it follows the load: prefill engines
- * that the others can do without go to decoding when decode memory is short, and back when prompts wait while decode memory
- * is free. A pool whose last prefill engine is lost gets one back at once. A change takes engines out for seconds, so a decision needs a window of samples and a clear case, and moves a part
- * of the engines at most; in a large pool one engine at a time would follow the load in minutes.
+ * <p>Before any load has been observed, the split follows the share that the operators configure. Then it follows the load:
+ * prefill engines that can be spared change to decode when decode memory is short, and back when prompts wait while decode memory
+ * is free. A pool that has lost its last prefill engine gets one back at once. A change takes engines out of service for seconds,
+ * so a decision needs a window of samples and a clear case, and moves only a part of the engines; it may move several, because in
+ * a large pool one engine at a time would follow the load only within minutes.
  */
 public final class StageSplit {
-    /** Weight of the newest sample: with a sample a second, about the last six seconds count. */
+    /** Weight of the newest sample: with one sample per second, about the last six seconds count. */
     private static final double NEWEST_WEIGHT = 0.25;
-    /** Samples after a change, or at first, before load decides: until the averages have taken hold. */
+    /** Samples after the start or a change before the load decides: until the averages have settled. */
     private static final int SETTLE_SAMPLES = 8;
-    /** Samples for which the engines must have been the same before the assumption is followed: at a start they come one by one. */
+    /**
+     * Samples for which the set of engines must not have changed before the assumed share is followed: at a start they register
+     * one by one.
+     */
     private static final int UNCHANGED_SAMPLES = 3;
-    /** Share of the time that prefill engines may be busy after one of them has left: room for bursts of twice the mean. */
+    /** Share of the time that prefill engines may be busy after one of them has been moved: room for bursts of twice the mean. */
     private static final double SPARE_PREFILL_BUSY = 0.5;
-    /** Use of decode memory from which another decode engine is wanted. */
+    /** Use of decode memory above which another decode engine is wanted. */
     private static final double SHORT_FILL = 0.6;
-    /** Share of the time that prefill engines are busy from which another one is wanted. */
+    /** Share of the time that prefill engines are busy above which another one is wanted. */
     private static final double SHORT_PREFILL_BUSY = 0.85;
-    /** Use of decode memory, after one engine has left, up to which one can be spared. */
+    /** Use of decode memory, after an engine has been moved, below which it can be spared. */
     private static final double SPARE_FILL = 0.55;
 
-    /** Part of a pool's engines that change at once: what is out meanwhile must not be missed. */
+    /** Maximum share of a pool's engines that change at once: the others must be able to do without those that are out of service. */
     private static final double MAX_MOVED_SHARE = 0.125;
 
     private final double assumedPrefillShare;
@@ -42,7 +46,7 @@
     private int unchangedSamples;
 
     /**
-     * An engine's change of stage. Immutable.
+     * Change of one engine's stage. Immutable.
      *
      * @param engine the engine's id
      * @param stage its new stage
@@ -50,7 +54,7 @@
      */
     public record Change(String engine, Stage stage, String reason) {}
 
-    /** Creates a decision that starts from the assumed share of prefill engines, between 0 and 1. */
+    /** Creates a split that starts from the assumed share of prefill engines, between 0 and 1, exclusive. */
     public StageSplit(double assumedPrefillShare) {
         if (!(assumedPrefillShare > 0 && assumedPrefillShare < 1)) {
             throw new IllegalArgumentException("prefill share: expected 0 to 1, got " + assumedPrefillShare);
@@ -58,14 +62,14 @@
         this.assumedPrefillShare = assumedPrefillShare;
     }
 
-    /** Notes which engines there are; while their number grows or shrinks no assumption is followed. */
+    /** Records which engines there are: the assumed share is not followed while the set of engines changes. */
     private void noteEngines(List<EngineSample> engines) {
         Set<String> present = engines.stream().map(EngineSample::id).collect(Collectors.toSet());
         unchangedSamples = present.equals(knownEngines) ? unchangedSamples + 1 : 0;
         knownEngines = present;
     }
 
-    /** Takes the load of all engines at a moment, about once a second. */
+    /** Records the load of all engines at one moment; called about once a second. */
     public void observe(List<EngineSample> engines) {
         noteEngines(engines);
         double busyNow = count(engines, Stage.PREFILL, true);
@@ -90,12 +94,12 @@
                 .count();
     }
 
-    /** Notes that an engine's stage has been changed: what was seen before counts no more. */
+    /** Records that an engine's stage has been changed, so that earlier samples no longer count. */
     public void stageChanged() {
         samples = 0;
     }
 
-    /** Returns the changes that are called for, possibly none; all of them go the same way. */
+    /** Returns the changes to make, possibly none; all of them are to the same stage. */
     public List<Change> decide(List<EngineSample> engines) {
         int prefill = (int) count(engines, Stage.PREFILL, false);
         int decode = (int) count(engines, Stage.DECODE, false);
@@ -125,7 +129,7 @@
     private List<Change> byLoad(List<EngineSample> engines, int prefill, int decode) {
         String reason = String.format("busy=%.2f fill=%.2f prefill=%d decode=%d", busy, fill, prefill, decode);
         if (prefill == 0 && unchangedSamples >= UNCHANGED_SAMPLES) {
-            // However full the others are: prompts read between their tokens hold up every stream that they run.
+            // Regardless of decode memory use: in-place prefills delay every stream that a decode engine runs.
             return changes(engines, Stage.DECODE, Stage.PREFILL, 1, reason);
         }
         if (samples < SETTLE_SAMPLES) {
@@ -144,9 +148,9 @@
     }
 
     /**
-     * Returns whether the fuller pool's use falls by more than the part of all engines that is out meanwhile. Where it doesn't, as
-     * with one of two prefill engines at a decode pool that is filled to three fifths, the next burst finds the other pool
-     * short, and an engine sent back is out once more.
+     * Returns whether a change reduces the use of the fuller pool by more than the share of all engines that it takes out of
+     * service. Where it does not, as with one of two prefill engines and a decode pool that is filled to three fifths, the next
+     * burst finds the other pool short, and an engine that is moved back is out of service once more.
      */
     private boolean isWorthMoving(int prefill, int decode, int moved) {
         double before = Math.max(busy / prefill, fill);
@@ -154,7 +158,7 @@
         return before - after > (double) moved / (prefill + decode);
     }
 
-    /** Returns how many prefill engines the others can do without. */
+    /** Returns how many prefill engines can be spared. */
     private int sparePrefill(int prefill, int decode) {
         int spare = 0;
         while (spare < maxMoves(prefill + decode)
@@ -165,7 +169,7 @@
         return spare;
     }
 
-    /** Returns how many decode engines the others can do without. */
+    /** Returns how many decode engines can be spared. */
     private int spareDecode(int prefill, int decode) {
         int spare = 0;
         while (spare < maxMoves(prefill + decode)
@@ -176,7 +180,7 @@
         return spare;
     }
 
-    /** The engines with the least to do change; among equals those with the least ids, so that all would choose alike. */
+    /** Selects the least loaded engines to change; among equals those with the lowest ids, so that every process selects the same. */
     private static List<Change> changes(List<EngineSample> engines, Stage from, Stage to, int count, String reason) {
         return engines.stream()
                 .filter(engine -> engine.stage() == from)
--- a/core/src/main/java/org/quetzalseam/core/generation/TokenDemand.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/TokenDemand.java
@@ -1,14 +1,14 @@
 package org.quetzalseam.core.generation;
 
 /**
- * What a generation says of its size, in tokens. Immutable.
+ * Size of a generation as its request states it, in tokens. Immutable.
  *
- * @param prompt tokens of its prompt
- * @param maxOutput the most tokens that it may make
- * @param expectedOutput the caller's estimate of the tokens that it makes: right in the median, often far off
+ * @param prompt number of tokens in its prompt
+ * @param maxOutput maximum number of tokens that it may generate
+ * @param expectedOutput the caller's estimate of the number of tokens that it generates: right in the median, often far off
  */
 public record TokenDemand(int prompt, int maxOutput, int expectedOutput) {
-    /** Returns the most memory that it can come to take, in tokens. */
+    /** Returns the maximum memory that it can use, in tokens. */
     public int maxTokens() {
         return prompt + maxOutput;
     }
--- a/core/src/main/java/org/quetzalseam/core/generation/package-info.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/package-info.java
@@ -1,4 +1,4 @@
-/** Decisions about generations: how much memory to book, who waits for it, and which engines read or decode. */
+/** Decisions about generations: how much memory to book, which prompts wait, and which engines prefill or decode. */
 @NullMarked
 package org.quetzalseam.core.generation;
 
--- a/core/src/main/java/org/quetzalseam/core/limits/EntryLimiter.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/EntryLimiter.java
@@ -8,18 +8,19 @@
  * Applies the rate and concurrency limits of catalogue entries at one entry process. Each process applies its share of
  * a limit: the limit divided by the number of entry processes, never less than one request.
  *
- * <p>Thread-safe. Limits follow the {@link EntrySpec} that each call passes, so a catalogue change acts at once.
+ * <p>Thread-safe. Limits follow the {@link EntrySpec} that each call passes, so a catalogue change takes effect at once.
  */
 public final class EntryLimiter {
+    /** Size of a burst, in seconds at the limit's rate. */
     private static final double BURST_SECONDS = 1.0;
 
-    /** Why a request was turned away, or that it was not. */
+    /** Whether a request was accepted, or which limit it exceeds. */
     public enum Verdict {
-        /** The request may go on; {@link EntryLimiter#leave} must be called at its end. */
+        /** The request is accepted; {@link EntryLimiter#leave} must be called at its end. */
         ENTERED,
-        /** More requests a second than the entry allows. */
+        /** More requests per second than the entry allows. */
         RATE,
-        /** More requests at once than the entry allows. */
+        /** More concurrent requests than the entry allows. */
         CONCURRENCY
     }
 
@@ -40,37 +41,37 @@
 
     private final Map<String, Usage> usages = new HashMap<>();
 
-    /** Counts a request in, or says which limit it would break. */
+    /** Accepts and counts a request, or returns which limit it would exceed. */
     public synchronized Verdict enter(EntrySpec entry, int processes, long now) {
         double rate = entry.limits().ratePerSecond() / Math.max(1, processes);
         int concurrency = Math.max(1, entry.limits().concurrency() / Math.max(1, processes));
-        Usage use = usages.computeIfAbsent(entry.name(), unused -> new Usage(rate, now));
-        if (use.rate != rate) {
-            use.rate = rate;
-            use.bucket = Usage.bucketFor(rate, now);
+        Usage usage = usages.computeIfAbsent(entry.name(), unused -> new Usage(rate, now));
+        if (usage.rate != rate) {
+            usage.rate = rate;
+            usage.bucket = Usage.bucketFor(rate, now);
         }
-        if (use.running >= concurrency) {
+        if (usage.running >= concurrency) {
             return Verdict.CONCURRENCY;
         }
-        if (!use.bucket.take(now)) {
+        if (!usage.bucket.take(now)) {
             return Verdict.RATE;
         }
-        use.running++;
+        usage.running++;
         return Verdict.ENTERED;
     }
 
-    /** Counts a request out. */
+    /** Records the end of a request that was accepted. */
     public synchronized void leave(String entry) {
-        Usage use = usages.get(entry);
-        if (use == null || use.running == 0) {
-            throw new IllegalStateException("entry " + entry + ": a request left that had not entered");
+        Usage usage = usages.get(entry);
+        if (usage == null || usage.running == 0) {
+            throw new IllegalStateException("entry " + entry + ": no accepted request is in progress");
         }
-        use.running--;
+        usage.running--;
     }
 
-    /** Returns the nanoseconds after which a request refused for its rate may come again. */
+    /** Returns the time after which a request that was refused for its rate may be retried, in nanoseconds. */
     public synchronized long retryAfterNanos(String entry, long now) {
-        Usage use = usages.get(entry);
-        return use == null ? 0 : use.bucket.nanosUntilNext(now);
+        Usage usage = usages.get(entry);
+        return usage == null ? 0 : usage.bucket.nanosUntilNext(now);
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/limits/IdleLimit.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/IdleLimit.java
@@ -3,28 +3,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How long a kept connection to one endpoint may rest before it is used again. Not thread-safe.
+ * Limits how long a kept-alive connection to one endpoint may be idle and still be used again. Not thread-safe.
  *
- * <p>An endpoint says how long it keeps an idle connection, but may forget one sooner, without notice: the next request on it
- * is lost, and may not be sent again where it isn't idempotent. Each such loss brings the limit well below the rest that it
- * came after; it rises again while none comes.
+ * <p>An endpoint states how long it keeps an idle connection, but may drop one sooner, without notice: the next request on it is
+ * lost, and may not be retried where it is not idempotent. Each such loss lowers the limit well below the idle time that it came
+ * after; the limit rises again while no request is lost.
  */
 public final class IdleLimit {
-    /** Part of the rest that led to a loss which is still taken to be safe. */
+    /** Share of the idle time before a loss that still counts as safe. */
     private static final double SAFE_SHARE = 0.5;
-    /** Time without a loss after which the limit has doubled, in nanoseconds: a restart, a common cause, is over by then. */
+    /** Time without a loss in which the limit doubles, in nanoseconds: a restart, a common cause, is over by then. */
     private static final long DOUBLING_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private long limitAtLossNanos = Long.MAX_VALUE;
     private long lostAt;
 
-    /** Notes that a request was lost on a connection that had rested for a time. */
-    public void recordLoss(long restNanos, long now) {
-        limitAtLossNanos = Math.min(limitNanos(now), (long) (restNanos * SAFE_SHARE));
+    /** Records that a request was lost on a connection that had been idle for a time. */
+    public void recordLoss(long idleNanos, long now) {
+        limitAtLossNanos = Math.min(limitNanos(now), (long) (idleNanos * SAFE_SHARE));
         lostAt = now;
     }
 
-    /** Returns the longest rest after which a connection is still used, in nanoseconds. */
+    /** Returns the longest idle time after which a connection is still used, in nanoseconds. */
     public long limitNanos(long now) {
         if (limitAtLossNanos == Long.MAX_VALUE) {
             return limitAtLossNanos;
--- a/core/src/main/java/org/quetzalseam/core/limits/TokenBucket.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/TokenBucket.java
@@ -1,6 +1,6 @@
 package org.quetzalseam.core.limits;
 
-/** A token bucket that starts full. Not thread-safe. Times are nanoseconds of one monotonic clock. */
+/** A token bucket that starts full. Not thread-safe. Times are monotonic, in nanoseconds. */
 public final class TokenBucket {
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -12,8 +12,8 @@
     /**
      * Creates a full bucket.
      *
-     * @param perSecond refill rate, positive
-     * @param burst size, at least 1
+     * @param perSecond refill rate in tokens per second, positive
+     * @param burst capacity in tokens, at least 1
      * @param now the current time
      */
     public TokenBucket(double perSecond, double burst, long now) {
@@ -27,7 +27,7 @@
         this.refilledAt = now;
     }
 
-    /** Takes one token. Returns false, and takes nothing, when there is none. */
+    /** Takes one token. Returns false, and takes nothing, if there is none. */
     public boolean take(long now) {
         refill(now);
         if (tokens < 1) {
@@ -37,7 +37,7 @@
         return true;
     }
 
-    /** Returns the nanoseconds until a token will be there; 0 when one is there now. */
+    /** Returns the time until a token is available, in nanoseconds; 0 if one is available now. */
     public long nanosUntilNext(long now) {
         refill(now);
         return tokens >= 1 ? 0 : (long) ((1 - tokens) / perSecond * NANOS_PER_SECOND);
--- a/core/src/test/java/org/quetzalseam/core/drain/GracePeriodTest.java
+++ b/core/src/test/java/org/quetzalseam/core/drain/GracePeriodTest.java
@@ -56,12 +56,12 @@
                 .as("callers may still be sent")
                 .isFalse();
         assertThat(grace.mayEndEarly(after(3_500), 1))
-                .as("something is under way")
+                .as("a request is in progress")
                 .isFalse();
         assertThat(grace.mayEndEarly(after(3_500), 0)).isTrue();
         grace.accept(after(3_400), 10);
         assertThat(grace.mayEndEarly(after(3_500), 0))
-                .as("somebody has just come")
+                .as("a request has just been accepted")
                 .isFalse();
         assertThat(grace.mayEndEarly(after(4_500), 0)).isTrue();
     }
@@ -72,18 +72,23 @@
         assertThat(grace.mayEndEarly(after(3_500), 0)).isTrue();
     }
 
-    /** Four processes told to stop at once: each begins its end 1.15 s after the one before, so the first is back before the last goes. */
+    /**
+     * Four processes that receive the signal at once: each stops accepting 1.15 s after the previous one, so that the first has
+     * restarted before the last ends.
+     */
     @Test
     void processesThatShutDownTogetherStopAcceptingOneAfterTheOther() {
         GracePeriod first = new GracePeriod(BEGUN, TimeUnit.SECONDS.toNanos(8), 0, 4);
         GracePeriod last = new GracePeriod(BEGUN, TimeUnit.SECONDS.toNanos(8), 3, 4);
         assertThat(first.remainingMillis(after(2_000)))
-                .as("at first all take what they can")
+                .as("at first all accept what they can")
                 .isEqualTo(5_600);
         assertThat(first.accept(after(4_000), 100)).isTrue();
         assertThat(first.accept(after(4_200), 100)).isFalse();
         assertThat(first.mayEndEarly(after(4_200), 0)).isTrue();
-        assertThat(first.isOver(after(4_200))).as("what is under way may go on").isFalse();
+        assertThat(first.isOver(after(4_200)))
+                .as("requests in progress may go on")
+                .isFalse();
         assertThat(last.accept(after(7_400), 100)).isTrue();
         assertThat(last.mayEndEarly(after(7_500), 0)).isFalse();
     }
--- a/core/src/test/java/org/quetzalseam/core/drain/RetryAfterTest.java
+++ b/core/src/test/java/org/quetzalseam/core/drain/RetryAfterTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** When the callers whom a leaving entry has refused come back. */
+/** Tests when callers retry that a draining entry has refused. */
 class RetryAfterTest {
     private static final long BEGUN = 5_000_000_000L;
     private static final long GRACE_MILLIS = 8_000;
@@ -18,7 +18,7 @@
     private final GracePeriod grace = new GracePeriod(BEGUN, TimeUnit.MILLISECONDS.toNanos(GRACE_MILLIS), 0, 1);
     private final Random random = new Random(11);
 
-    /** Returns when callers come back who are refused at a steady rate, in milliseconds after the signal. */
+    /** Returns when callers retry that are refused at a steady rate, in milliseconds after the signal to stop. */
     private long[] retryTimes() {
         return LongStream.iterate(3_100, at -> at < 7_500, at -> at + 20)
                 .map(at -> at + grace.retryAfterMillis(BEGUN + TimeUnit.MILLISECONDS.toNanos(at), random.nextDouble()))
@@ -26,17 +26,20 @@
                 .toArray();
     }
 
-    /** A successor has just started and knows nothing yet: whoever was refused in seconds would be there at one moment. */
+    /**
+     * Guards against all callers that were refused over seconds retrying at one moment, at a successor that has just started and has
+     * no statistics yet.
+     */
     @Test
     void callersRefusedOverSecondsDoNotRetryAtOneMoment() {
-        long[] returns = retryTimes();
+        long[] times = retryTimes();
         int most = 0;
-        for (long from : returns) {
-            most = Math.max(most, (int) Arrays.stream(returns)
+        for (long from : times) {
+            most = Math.max(most, (int) Arrays.stream(times)
                     .filter(at -> at >= from && at < from + 500)
                     .count());
         }
-        assertThat(most).isLessThan(returns.length / 2);
+        assertThat(most).isLessThan(times.length / 2);
     }
 
     @Test
--- a/core/src/test/java/org/quetzalseam/core/generation/FixedTimeoutEntry.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/FixedTimeoutEntry.java
@@ -3,7 +3,7 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 
-/** An entry that counts its own prompts, gives each up after a fixed time and begins it anew at one other engine. */
+/** An entry that counts its own prompts, cancels each after a fixed time and retries it at one other engine. */
 final class FixedTimeoutEntry implements PrefillSimulation.Entry {
     private static final long TIMEOUT_MILLIS = 600;
     private static final int MAX_ENGINES = 2;
--- a/core/src/test/java/org/quetzalseam/core/generation/InPlacePrefillTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/InPlacePrefillTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Prefill engines answer for a prompt of 5,000 tokens in 175 ms; a decode engine takes about as long, in which its streams stand
- * nearly still. Callers are promised pauses of 300 ms at most.
+ * Prefill engines answer for a prompt of 5,000 tokens in 175 ms; a decode engine takes about as long, and its streams nearly stop
+ * meanwhile. Callers are promised pauses of 300 ms at most.
  */
 class InPlacePrefillTest {
     private static final double PACE = 0.035;
@@ -44,7 +44,7 @@
         for (int rank = 0; rank < 5; rank++) {
             InPlacePrefill<String> entry = new InPlacePrefill<>();
             entry.updateEntries(5, rank);
-            selectEngine(entry, TOKENS).ifPresent(taken -> owners.merge(taken, 1, Integer::sum));
+            selectEngine(entry, TOKENS).ifPresent(selected -> owners.merge(selected, 1, Integer::sum));
         }
         assertThat(owners)
                 .containsOnlyKeys(DECODERS)
@@ -79,7 +79,7 @@
                 .isEmpty();
     }
 
-    /** Five entries under a burst, seeded: whatever they ask for, no two readings at one engine overlap, and each leaves a gap. */
+    /** Five entries under a seeded burst: no two prefills at one engine overlap, and each leaves a gap after it. */
     @Test
     void prefillsOfAllEntriesAtOneEngineNeverOverlap() {
         Random random = new Random(4);
@@ -90,7 +90,7 @@
             entry.updateEntries(5, rank);
             entries.add(entry);
         }
-        int read = 0;
+        int prefills = 0;
         for (int i = 0; i < 2_000; i++) {
             now += TimeUnit.MILLISECONDS.toNanos(random.nextInt(40));
             int tokens = 500 + random.nextInt(6_500);
@@ -101,9 +101,9 @@
                 assertThat(freeAt.getOrDefault(engine.get(), now)).isLessThanOrEqualTo(now);
                 freeAt.put(engine.get(), now + TimeUnit.MILLISECONDS.toNanos(millis + 10));
                 entry.begin(engine.get(), tokens, PACE, now);
-                read++;
+                prefills++;
             }
         }
-        assertThat(read).isGreaterThan(200);
+        assertThat(prefills).isGreaterThan(200);
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/generation/MemoryBookingTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/MemoryBookingTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The load that the policy answers: a burst that fills every engine, of generations whose lengths nobody knows beforehand.
- * Lengths and estimates are spread by a factor of e^0.5 each, as measured on answers of two deployments.
+ * Tests booking under a burst that fills every engine, of generations whose lengths are not known beforehand. Lengths and
+ * estimates are each spread by a factor of e^0.5, as measured on answers of two deployments.
  */
 class MemoryBookingTest {
     private static final int BLOCK = 16;
@@ -37,7 +37,7 @@
         return booking;
     }
 
-    /** Fills engines as they would be filled at once, and returns how many run and in how many engines memory runs out. */
+    /** Fills engines as in a burst, and returns how many generations run and in how many engines memory runs out. */
     private int[] fill(MemoryBooking booking, int engines) {
         int running = 0;
         int overflowing = 0;
--- a/core/src/test/java/org/quetzalseam/core/generation/OrderLeaseTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/OrderLeaseTest.java
@@ -35,7 +35,7 @@
         hold();
         lease.renewed(0, 0);
         assertThat(lease.mayOrder(SECOND / 10, 60_000))
-                .as("the monotonic clock doesn't count the suspension, the time of day does")
+                .as("the monotonic clock does not count the suspension, the time of day does")
                 .isFalse();
     }
 
@@ -64,7 +64,7 @@
         assertThat(lease.hasLapsed(22 * SECOND)).isFalse();
         lease.observe("other", 1, at(11), 22 * SECOND);
         assertThat(lease.hasLapsed(24 * SECOND))
-                .as("the same revision again is no sign of life")
+                .as("the same revision again is no renewal")
                 .isTrue();
     }
 
--- a/core/src/test/java/org/quetzalseam/core/generation/OutputLengthModelTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/OutputLengthModelTest.java
@@ -8,7 +8,7 @@
 class OutputLengthModelTest {
     private static final double TOKENS_IN_EVENT = 50;
 
-    /** Lengths and estimates that are both spread by a factor, the estimate about the true length. */
+    /** Draws a length about 4,000 tokens, and an estimate about that length, each spread by a factor. */
     private static double[] drawn(Random random, double lengthSpread, double estimateSpread) {
         double tokens = 4_000 * Math.exp(lengthSpread * random.nextGaussian());
         double estimate = tokens * Math.exp(estimateSpread * random.nextGaussian());
@@ -19,16 +19,16 @@
         Random random = new Random(7);
         OutputLengthModel model = new OutputLengthModel();
         int within = 0;
-        int judged = 0;
+        int compared = 0;
         for (int i = 0; i < 4_000; i++) {
             double[] draw = drawn(random, lengthSpread, estimateSpread);
             if (i >= 500) {
-                judged++;
+                compared++;
                 within += draw[0] <= model.boundTokens(draw[1], deviations) ? 1 : 0;
             }
             model.recordLength(draw[1], draw[0] / TOKENS_IN_EVENT);
         }
-        return (double) within / judged;
+        return (double) within / compared;
     }
 
     @Test
--- a/core/src/test/java/org/quetzalseam/core/generation/PlannerEntry.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PlannerEntry.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
 
-/** An entry that does what its {@link PrefillPlanner} says. */
+/** An entry that follows the decisions of its {@link PrefillPlanner}. */
 final class PlannerEntry implements PrefillSimulation.Entry {
     private final PrefillPlanner<Integer> planner = new PrefillPlanner<>();
     private final List<Integer> engines;
@@ -47,8 +47,8 @@
 
     @Override
     public boolean shouldRetry(PrefillSimulation.Prompt prompt, long now) {
-        PrefillPlanner<Integer>.Prefill reading = inProgress.get(prompt);
-        return reading != null && reading.shouldRetryElsewhere(engines, false, nanos(now));
+        PrefillPlanner<Integer>.Prefill prefill = inProgress.get(prompt);
+        return prefill != null && prefill.shouldRetryElsewhere(engines, false, nanos(now));
     }
 
     @Override
@@ -71,8 +71,8 @@
 
     @Override
     public long retryAfterMillis(PrefillSimulation.Prompt prompt, long now) {
-        double drained =
+        double afterMillis =
                 planner.retryAfterMillis(selectEngine(prompt, now), PrefillSimulation.OBJECTIVE_MILLIS, nanos(now));
-        return Math.round(drained * (0.75 + 0.5 * random.nextDouble()));
+        return Math.round(afterMillis * (0.75 + 0.5 * random.nextDouble()));
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/generation/PrefillPlannerTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillPlannerTest.java
@@ -29,9 +29,9 @@
 
     private void prefill(String engine, long millis, int times) {
         for (int i = 0; i < times; i++) {
-            PrefillPlanner<String>.Prefill reading = begin(engine);
+            PrefillPlanner<String>.Prefill prefill = begin(engine);
             pass(millis);
-            reading.completed(now, (double) millis, OBJECTIVE);
+            prefill.completed(now, (double) millis, OBJECTIVE);
         }
     }
 
@@ -40,58 +40,62 @@
                 .orElseThrow();
     }
 
-    private boolean begins(String engine, PrefillPlanner.Deadline due) {
-        return planner.judge(engine, ENGINES.size(), TOKENS, due, now) == PrefillPlanner.Verdict.BEGIN;
+    private boolean begins(String engine, PrefillPlanner.Deadline deadline) {
+        return planner.judge(engine, ENGINES.size(), TOKENS, deadline, now) == PrefillPlanner.Verdict.BEGIN;
     }
 
-    /** A reading takes about a tenth of the objective: most of what is read can be in time. */
-    @ParameterizedTest(name = "load {0}, in turns {1}")
+    /** A prefill takes about a tenth of the objective, so that most prefills can be in time. */
+    @ParameterizedTest(name = "load {0}, interleaved {1}")
     @CsvSource({"2, true", "2, false", "4, true", "4, false"})
-    void underOverloadMostOfThePoolsCapacityPrefillsPromptsInTime(double load, boolean turns) {
+    void underOverloadMostOfThePoolsCapacityPrefillsPromptsInTime(double load, boolean interleaved) {
         for (long seed = 1; seed <= 5; seed++) {
-            PrefillSimulation.Result day =
-                    new PrefillSimulation(PlannerEntry::new, 5, 3, 55, turns, seed).run(load, load, 0, 30_000);
-            assertThat(day.inTime()).as("seed %d: %s", seed, day).isGreaterThan(0.55);
-            assertThat(day.inTime() + day.late()).as("seed %d: %s", seed, day).isGreaterThan(0.7);
+            PrefillSimulation.Result result =
+                    new PrefillSimulation(PlannerEntry::new, 5, 3, 55, interleaved, seed).run(load, load, 0, 30_000);
+            assertThat(result.inTime()).as("seed %d: %s", seed, result).isGreaterThan(0.55);
+            assertThat(result.inTime() + result.late())
+                    .as("seed %d: %s", seed, result)
+                    .isGreaterThan(0.7);
         }
     }
 
-    /** A reading takes two fifths of the objective and more: at full use many are late, but whoever is begun is answered. */
-    @ParameterizedTest(name = "load {0}, {1} tokens a ms, in turns {2}")
+    /** A prefill takes two fifths of the objective or more: at full load many are late, but prompts that are begun are answered. */
+    @ParameterizedTest(name = "load {0}, {1} tokens per ms, interleaved {2}")
     @CsvSource({
         "2, 14, true", "2, 14, false", "4, 14, true", "4, 14, false",
         "2, 3.5, true", "2, 3.5, false", "4, 3.5, true", "4, 3.5, false"
     })
-    void atSlowEnginesTooMostOfThePoolsCapacityIsNotWasted(double load, double pace, boolean turns) {
+    void atSlowEnginesTooMostOfThePoolsCapacityIsNotWasted(double load, double pace, boolean interleaved) {
         for (long seed = 1; seed <= 5; seed++) {
-            PrefillSimulation.Result day =
-                    new PrefillSimulation(PlannerEntry::new, 5, 3, pace, turns, seed).run(load, load, 0, 30_000);
-            assertThat(day.inTime() + day.late()).as("seed %d: %s", seed, day).isGreaterThan(0.55);
+            PrefillSimulation.Result result =
+                    new PrefillSimulation(PlannerEntry::new, 5, 3, pace, interleaved, seed).run(load, load, 0, 30_000);
+            assertThat(result.inTime() + result.late())
+                    .as("seed %d: %s", seed, result)
+                    .isGreaterThan(0.55);
         }
     }
 
-    @ParameterizedTest(name = "in turns {0}")
+    @ParameterizedTest(name = "interleaved {0}")
     @CsvSource({"true", "false"})
-    void onceTheOverloadIsOverNearlyAllIsPrefilledInTime(boolean turns) {
+    void onceTheOverloadIsOverNearlyAllIsPrefilledInTime(boolean interleaved) {
         for (long seed = 1; seed <= 5; seed++) {
             double calm = 0.6;
             PrefillSimulation.Result all =
-                    new PrefillSimulation(PlannerEntry::new, 5, 3, 55, turns, seed).run(4, calm, 10_000, 30_000);
+                    new PrefillSimulation(PlannerEntry::new, 5, 3, 55, interleaved, seed).run(4, calm, 10_000, 30_000);
             PrefillSimulation.Result busy =
-                    new PrefillSimulation(PlannerEntry::new, 5, 3, 55, turns, seed).run(4, calm, 10_000, 10_000);
-            double since = all.inTime() * 30 - busy.inTime() * 10;
-            double given = all.total() * 30 - busy.total() * 10;
-            assertThat(since / given).as("seed %d", seed).isGreaterThan(0.9);
+                    new PrefillSimulation(PlannerEntry::new, 5, 3, 55, interleaved, seed).run(4, calm, 10_000, 10_000);
+            double inTime = all.inTime() * 30 - busy.inTime() * 10;
+            double total = all.total() * 30 - busy.total() * 10;
+            assertThat(inTime / total).as("seed %d", seed).isGreaterThan(0.9);
         }
     }
 
-    /** Keeps in view what the pool is there for. */
+    /** Shows the failure that the planner prevents: under overload, engines spend most of their time on prompts that were cancelled. */
     @Test
     void aFixedTimeoutWastesMostOfTheEnginesWork() {
-        PrefillSimulation.Result day =
+        PrefillSimulation.Result result =
                 new PrefillSimulation(FixedTimeoutEntry::new, 5, 3, 55, true, 1).run(2, 2, 0, 30_000);
-        assertThat(day.total()).isGreaterThan(0.9);
-        assertThat(day.inTime() + day.late()).isLessThan(0.2);
+        assertThat(result.total()).isGreaterThan(0.9);
+        assertThat(result.inTime() + result.late()).isLessThan(0.2);
     }
 
     @Test
@@ -115,7 +119,7 @@
         assertThat(selectEngine()).isEqualTo("b");
         pass(10_000);
         assertThat(planner.predictCompletionMillis("a", TOKENS, now))
-                .as("old news fades")
+                .as("an old observation decays")
                 .isLessThan(200);
     }
 
@@ -147,7 +151,7 @@
         pass(20_000);
         assertThat(begins("a", IN_TIME)).isTrue();
         assertThat(begins("a", new PrefillPlanner.Deadline(OBJECTIVE, 1_500, OBJECTIVE)))
-                .as("its caller leaves before")
+                .as("its caller stops waiting before")
                 .isFalse();
     }
 
@@ -169,20 +173,20 @@
     void anUnresponsiveEngineIsReplacedSoonerByOneThatHasAnsweredMeanwhile() {
         prefill("a", 90, 20);
         prefill("b", 90, 20);
-        PrefillPlanner<String>.Prefill dead = begin("a");
-        long limit = Math.round(dead.unresponsiveLimitMillis());
-        pass(limit * 2 / 5);
-        assertThat(dead.shouldRetryElsewhere(ENGINES, true, now))
+        PrefillPlanner<String>.Prefill stuck = begin("a");
+        long limitMillis = Math.round(stuck.unresponsiveLimitMillis());
+        pass(limitMillis * 2 / 5);
+        assertThat(stuck.shouldRetryElsewhere(ENGINES, true, now))
                 .as("no other has answered")
                 .isFalse();
         prefill("b", 90, 1);
-        assertThat(dead.shouldRetryElsewhere(ENGINES, false, now)).as("early").isFalse();
-        assertThat(dead.shouldRetryElsewhere(ENGINES, true, now))
-                .as("early, and it isn't listed any more")
+        assertThat(stuck.shouldRetryElsewhere(ENGINES, false, now)).as("early").isFalse();
+        assertThat(stuck.shouldRetryElsewhere(ENGINES, true, now))
+                .as("early, and it is no longer listed")
                 .isTrue();
-        pass(limit);
-        assertThat(dead.shouldRetryElsewhere(ENGINES, false, now)).isTrue();
-        assertThat(dead.shouldRetryElsewhere(List.of("a"), false, now))
+        pass(limitMillis);
+        assertThat(stuck.shouldRetryElsewhere(ENGINES, false, now)).isTrue();
+        assertThat(stuck.shouldRetryElsewhere(List.of("a"), false, now))
                 .as("there is no other")
                 .isFalse();
     }
@@ -191,11 +195,11 @@
     void anUnresponsiveEngineIsReplacedAfterTwiceTheLimitWhereNoOtherWasAsked() {
         prefill("a", 90, 20);
         prefill("b", 90, 20);
-        PrefillPlanner<String>.Prefill dead = begin("a");
-        long limit = Math.round(dead.unresponsiveLimitMillis());
-        pass(limit + 50);
-        assertThat(dead.shouldRetryElsewhere(ENGINES, false, now)).isFalse();
-        pass(limit);
-        assertThat(dead.shouldRetryElsewhere(ENGINES, false, now)).isTrue();
+        PrefillPlanner<String>.Prefill stuck = begin("a");
+        long limitMillis = Math.round(stuck.unresponsiveLimitMillis());
+        pass(limitMillis + 50);
+        assertThat(stuck.shouldRetryElsewhere(ENGINES, false, now)).isFalse();
+        pass(limitMillis);
+        assertThat(stuck.shouldRetryElsewhere(ENGINES, false, now)).isTrue();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/generation/PrefillQueueTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillQueueTest.java
@@ -7,8 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A burst of twice the mean for four seconds, at engines that read 1.3 times the mean: some forty prompts can't be in time, and are
- * read in the lull after it if they wait. Callers of a stream stay four objectives of 900 ms without an event.
+ * Guards against prompts that are refused although they could be answered late. A burst of twice the mean load for four seconds,
+ * at engines that can prefill 1.3 times the mean, leaves some forty prompts that cannot be in time, but are prefilled in the lull
+ * after it if they wait. Callers of a stream wait four objectives of 900 ms without an event.
  */
 class PrefillQueueTest {
     private static final double OBJECTIVE = 900;
@@ -67,20 +68,20 @@
 
     @Test
     void aPromptExpiresWhileItsCallerStillWaitsLongEnoughForTheFirstEvent() {
-        PrefillQueue<String>.Position place = add("fresh", 0);
+        PrefillQueue<String>.Position position = add("fresh", 0);
         pass(2_300);
-        assertThat(place.hasExpired(now)).isFalse();
+        assertThat(position.hasExpired(now)).isFalse();
         pass(100);
-        assertThat(place.hasExpired(now)).isTrue();
-        assertThat(place.waitedMillis(now)).isEqualTo(2_400);
+        assertThat(position.hasExpired(now)).isTrue();
+        assertThat(position.waitedMillis(now)).isEqualTo(2_400);
     }
 
     @Test
     void aRemovedPromptNoLongerCounts() {
-        PrefillQueue<String>.Position place = add("gone", 0);
+        PrefillQueue<String>.Position position = add("gone", 0);
         add("other", 0);
-        queue.remove(place);
-        queue.remove(place);
+        queue.remove(position);
+        queue.remove(position);
         assertThat(order()).containsExactly("other");
         assertThat(queue.size()).isEqualTo(1);
         assertThat(queue.isEmpty()).isFalse();
--- a/core/src/test/java/org/quetzalseam/core/generation/PrefillSimulation.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillSimulation.java
@@ -7,7 +7,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-/** A seeded day of a few entries that have prompts read by a few engines, in steps of a millisecond. */
+/** Seeded simulation of a few entries that have prompts prefilled by a few engines, in steps of a millisecond. */
 final class PrefillSimulation {
     static final int OBJECTIVE_MILLIS = 900;
     private static final int DEADLINE_MILLIS = 14_000;
@@ -15,12 +15,12 @@
     private static final int MEAN_TOKENS = 5_000;
     private static final int MAX_TOKENS = 11_000;
 
-    /** An entry's decisions. A new object is made for each entry. */
+    /** Decisions of one entry. Each entry has its own object. */
     interface Entry {
         /** Returns the engine at which to begin, or -1 to refuse. */
         int place(Prompt prompt, long nowMillis);
 
-        /** Returns whether to give up what is under way and to place it again. */
+        /** Returns whether to cancel a prefill in progress and to retry the prompt. */
         boolean shouldRetry(Prompt prompt, long nowMillis);
 
         void began(Prompt prompt, long nowMillis);
@@ -29,11 +29,11 @@
 
         void cancelled(Prompt prompt);
 
-        /** Returns when a refused caller is to come back. */
+        /** Returns after which time a refused caller should retry, in milliseconds. */
         long retryAfterMillis(Prompt prompt, long nowMillis);
     }
 
-    /** Makes the entries. */
+    /** Creates the entries. */
     @FunctionalInterface
     interface Entries {
         Entry make(int engines, int entries, Random random);
@@ -51,10 +51,10 @@
         long begunAt;
         double tokensLeft;
 
-        Prompt(int tokens, long arrived) {
+        Prompt(int tokens, long arrivedAt) {
             this.tokens = tokens;
-            this.arrivedAt = arrived;
-            this.nextArrivalAt = arrived;
+            this.arrivedAt = arrivedAt;
+            this.nextArrivalAt = arrivedAt;
         }
 
         double untilObjectiveMillis(long now) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** What came of a day, as shares of what the engines could have read. */
+    /** Prompt tokens prefilled in time, late, and in all, including wasted ones, as shares of what the engines could have prefilled. */
     record Result(double inTime, double late, double total) {}
 
     private final double tokensPerMilli;
@@ -81,10 +81,11 @@
     private double tokensLate;
     private double tokensTotal;
 
-    /** Creates a day; with {@code turns} engines read prompts in turns of a chunk, else one after the other. */
-    PrefillSimulation(Entries maker, int entryCount, int engineCount, double tokensPerMilli, boolean turns, long seed) {
+    /** Creates a simulation; if {@code interleaved}, engines alternate between prompts by chunks, else they prefill one after the other. */
+    PrefillSimulation(
+            Entries maker, int entryCount, int engineCount, double tokensPerMilli, boolean interleaved, long seed) {
         this.tokensPerMilli = tokensPerMilli;
-        this.interleaved = turns;
+        this.interleaved = interleaved;
         this.random = new Random(seed);
         for (int i = 0; i < entryCount; i++) {
             entries.add(maker.make(engineCount, entryCount, random));
@@ -94,11 +95,18 @@
         }
     }
 
-    /** Plays the load, in multiples of what the engines can read, up to a time, and another from there. */
-    Result run(double load, double loadAfter, long turn, long length) {
-        double counted = 0;
+    /**
+     * Runs the simulation.
+     *
+     * @param load load before {@code changeAt}, as a multiple of what the engines can prefill
+     * @param loadAfter load from then on
+     * @param changeAt time at which the load changes, in milliseconds
+     * @param length length of the simulation, in milliseconds
+     */
+    Result run(double load, double loadAfter, long changeAt, long length) {
+        double capacity = 0;
         for (long now = 0; now < length; now++) {
-            arrive(now < turn ? load : loadAfter, now);
+            arrive(now < changeAt ? load : loadAfter, now);
             while (!callers.isEmpty() && callers.peek().nextArrivalAt <= now) {
                 send(callers.poll(), now);
             }
@@ -106,15 +114,15 @@
             for (int engine = 0; engine < engines.size(); engine++) {
                 prefill(engine, now);
             }
-            counted += tokensPerMilli * engines.size();
+            capacity += tokensPerMilli * engines.size();
         }
-        return new Result(tokensInTime / counted, tokensLate / counted, tokensTotal / counted);
+        return new Result(tokensInTime / capacity, tokensLate / capacity, tokensTotal / capacity);
     }
 
     private void arrive(double load, long now) {
         double perMilli = load * tokensPerMilli * engines.size() / MEAN_TOKENS;
-        for (double left = perMilli; left > 0; left--) {
-            if (random.nextDouble() < Math.min(1, left)) {
+        for (double expected = perMilli; expected > 0; expected--) {
+            if (random.nextDouble() < Math.min(1, expected)) {
                 double size = MEAN_TOKENS * Math.exp(0.5 * random.nextGaussian() - 0.125);
                 callers.add(new Prompt((int) Math.min(MAX_TOKENS, Math.max(100, size)), now));
             }
@@ -145,22 +153,22 @@
     }
 
     private void refuse(Prompt prompt, long now) {
-        long left = prompt.arrivedAt + DEADLINE_MILLIS - now;
-        long back = Math.min(entries.get(prompt.entry).retryAfterMillis(prompt, now), left / 3);
-        if (prompt.requests < 2 && left > 0) {
-            prompt.nextArrivalAt = now + Math.max(1, back);
+        long leftMillis = prompt.arrivedAt + DEADLINE_MILLIS - now;
+        long afterMillis = Math.min(entries.get(prompt.entry).retryAfterMillis(prompt, now), leftMillis / 3);
+        if (prompt.requests < 2 && leftMillis > 0) {
+            prompt.nextArrivalAt = now + Math.max(1, afterMillis);
             callers.add(prompt);
         }
     }
 
     private void cancelAndRetry(long now) {
         for (Prompt prompt : List.copyOf(inProgress)) {
-            boolean gone = now - prompt.arrivedAt > DEADLINE_MILLIS;
-            if (gone || entries.get(prompt.entry).shouldRetry(prompt, now)) {
+            boolean expired = now - prompt.arrivedAt > DEADLINE_MILLIS;
+            if (expired || entries.get(prompt.entry).shouldRetry(prompt, now)) {
                 engines.get(prompt.engine).remove(prompt);
                 inProgress.remove(prompt);
                 entries.get(prompt.entry).cancelled(prompt);
-                if (!gone) {
+                if (!expired) {
                     place(prompt, now);
                 }
             }
@@ -172,8 +180,8 @@
         double room = tokensPerMilli;
         while (room > 0 && !queue.isEmpty()) {
             Prompt prompt = queue.peekFirst();
-            double turn = prompt.tokensLeft % CHUNK_TOKENS == 0 ? CHUNK_TOKENS : prompt.tokensLeft % CHUNK_TOKENS;
-            double step = Math.min(room, Math.min(prompt.tokensLeft, turn));
+            double chunk = prompt.tokensLeft % CHUNK_TOKENS == 0 ? CHUNK_TOKENS : prompt.tokensLeft % CHUNK_TOKENS;
+            double step = Math.min(room, Math.min(prompt.tokensLeft, chunk));
             prompt.tokensLeft -= step;
             room -= step;
             tokensTotal += step;
@@ -181,7 +189,7 @@
                 queue.remove(prompt);
                 inProgress.remove(prompt);
                 finished(prompt, now);
-            } else if (interleaved && step == turn) {
+            } else if (interleaved && step == chunk) {
                 queue.add(queue.remove());
             }
         }
--- a/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceRestartTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceRestartTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Entries that share a retry budget, are killed, and start again without a memory of what they have spent. */
+/** Tests entries that share a retry budget, are killed, and restart without knowing what they have spent. */
 class RetryAllowanceRestartTest {
     private static final long MILLI = 1_000_000;
     private static final long WINDOW = 10_000 * MILLI;
@@ -19,7 +19,7 @@
     /** Time before the first request, in milliseconds. */
     private static final long FIRST_REQUEST_MILLIS = 15_000;
 
-    /** One entry over all its lives. */
+    /** One entry over all its incarnations. */
     private static final class Entry {
         private RetryAllowance allowance = newAllowance(0);
 
@@ -42,14 +42,14 @@
         entry.allowance.recordRequest(now);
     }
 
-    /** Engines fail, so that whatever the budget allows is sent again. */
+    /** Spends all retries that the budget allows, as where engines fail. */
     private void retryAll(Entry entry, long now) {
         while (entry.allowance.tryRetry(now)) {
             retries.add(now);
         }
     }
 
-    /** Requests are counted in the window of the retries, in the one before it, or half a window before it. */
+    /** Compares the retries in each window with the requests in the same window, in the previous one, or half a window earlier. */
     private void assertWithinTheBudget() {
         for (long start : retries) {
             long counted = Math.max(
@@ -67,7 +67,7 @@
                 .count();
     }
 
-    // Guards against a budget that each life of an entry has anew: 135 retries in a window that allows 74.
+    // Guards against a budget that each incarnation of an entry gets in full: 135 retries in a window that allows 74.
     @Test
     void entriesThatAreAllKilledTwiceInAWindowStayWithinTheBudget() {
         List<Entry> entries = new ArrayList<>();
@@ -89,7 +89,7 @@
         assertWithinTheBudget();
     }
 
-    // Guards against the same at any moments of kills, requests and retries.
+    // Guards against the same with kills, requests and retries at random moments.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void entriesThatAreKilledAtAnyMomentsStayWithinTheBudget(long seed) {
@@ -118,7 +118,7 @@
         assertWithinTheBudget();
     }
 
-    // Guards against a mend that leaves an entry without any part of the slack for a whole window.
+    // Guards against a fix that leaves an entry without any part of the slack for a whole window.
     @Test
     void aRestartedEntryHasAPartOfTheSlackBeforeAWindowIsOver() {
         RetryAllowance allowance = Entry.newAllowance(0);
--- a/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceTest.java
@@ -12,12 +12,12 @@
     private static final double SLACK = 56;
     private static final long LONG_AGO = -10 * WINDOW;
 
-    private static int taken(RetryAllowance allowance, long now) {
-        int taken = 0;
+    private static int spent(RetryAllowance allowance, long now) {
+        int spent = 0;
         while (allowance.tryRetry(now)) {
-            taken++;
+            spent++;
         }
-        return taken;
+        return spent;
     }
 
     @Test
@@ -36,7 +36,7 @@
             all += share;
         }
         for (RetryAllowance allowance : entries) {
-            retries += taken(allowance, 2);
+            retries += spent(allowance, 2);
         }
         assertThat((double) retries).isLessThanOrEqualTo(RATIO * all + SLACK);
         assertThat(retries).isGreaterThan((int) (0.7 * (RATIO * all + SLACK)));
@@ -44,7 +44,7 @@
 
     @Test
     void anEntryThatDoesNotKnowTheEntryCountUsesASmallPartOfTheSlack() {
-        assertThat(taken(new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO), 1)).isLessThanOrEqualTo(2);
+        assertThat(spent(new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO), 1)).isLessThanOrEqualTo(2);
     }
 
     @Test
@@ -54,16 +54,16 @@
         for (int i = 0; i < 5; i++) {
             allowance.recordRequest(1);
         }
-        assertThat(taken(allowance, 2)).isGreaterThanOrEqualTo(8);
+        assertThat(spent(allowance, 2)).isGreaterThanOrEqualTo(8);
     }
 
     @Test
     void spentRetriesAreAvailableAgainAfterTheWindow() {
         RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
         allowance.updateEntryCount(5);
-        int first = taken(allowance, 1);
-        assertThat(taken(allowance, WINDOW)).isZero();
-        assertThat(taken(allowance, WINDOW + 2)).isEqualTo(first);
+        int first = spent(allowance, 1);
+        assertThat(spent(allowance, WINDOW)).isZero();
+        assertThat(spent(allowance, WINDOW + 2)).isEqualTo(first);
     }
 
     @Test
