--- a/core/src/main/java/org/quetzalseam/core/drain/AnswerTimeModel.java
+++ b/core/src/main/java/org/quetzalseam/core/drain/AnswerTimeModel.java
@@ -5,8 +5,8 @@
 /** Predicts how long answers of one route take, from the answers recorded. Not thread-safe. */
 public final class AnswerTimeModel {
     /**
-     * Minimum number of answers before a bound is given. With fewer, the model relies on its assumptions more than on recorded
-     * answers; a busy route has this many within seconds.
+     * Minimum number of answers before a bound is given. With fewer, the model relies on its assumptions more than on
+     * recorded answers; a busy route has this many within seconds.
      */
     private static final int MIN_ANSWERS = 8;
 
@@ -25,7 +25,8 @@
     }
 
     /**
-     * Returns the time within which an answer ends, in milliseconds, or {@link Long#MAX_VALUE} while too few have been recorded.
+     * Returns the time within which an answer ends, in milliseconds, or {@link Long#MAX_VALUE} while too few have been
+     * recorded.
      *
      * @param estimate the caller's estimate of its size
      * @param deviations how many standard deviations above the median: 1.28 for nine in ten
--- a/core/src/main/java/org/quetzalseam/core/drain/GracePeriod.java
+++ b/core/src/main/java/org/quetzalseam/core/drain/GracePeriod.java
@@ -3,35 +3,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Grace period between the signal to stop and the end of the process. Decides by the remaining time which requests are still
- * accepted, after which time refused callers retry, and when the process may end early. Not thread-safe.
+ * Grace period between the signal to stop and the end of the process. Decides by the remaining time which requests are
+ * still accepted, after which time refused callers retry, and when the process may end early. Not thread-safe.
  *
- * <p>A request that cannot end in the remaining time is refused at once, as not run: if it were accepted, it would be cut off at
- * the end, and its caller could not know whether it has run. Requests are refused for no other reason, because where all entries
- * of a site shut down together, no other entry would accept them.
+ * <p>A request that cannot end in the remaining time is refused at once, as not run: if it were accepted, it would be
+ * cut off at the end, and its caller could not know whether it has run. Requests are refused for no other reason,
+ * because where all entries of a site shut down together, no other entry would accept them.
  */
 public final class GracePeriod {
     /**
-     * How long the balancer still sends callers here that it could send elsewhere, in nanoseconds: it checks once a second, and
-     * removes an entry after two responses that it is not ready.
+     * How long the balancer still sends callers here that it could send elsewhere, in nanoseconds: it checks once a
+     * second, and removes an entry after two responses that it is not ready.
      */
     private static final long BALANCER_NOTICE_NANOS = TimeUnit.SECONDS.toNanos(3);
     /**
-     * Certainty required of a request's end before the balancer must have noticed, in standard deviations: nine in ten. A refusal
-     * costs the caller one of few attempts, a stream that is cut off all that it has waited for.
+     * Certainty required of a request's end before the balancer must have noticed, in standard deviations: nine in ten.
+     * A refusal costs the caller one of few attempts, a stream that is cut off all that it has waited for.
      */
     private static final double EARLY_DEVIATIONS = 1.28;
-    /** The same afterwards, in standard deviations: all but about one in a thousand, because many requests may arrive until the end. */
+    /**
+     * The same afterwards, in standard deviations: all but about one in a thousand, because many requests may arrive
+     * until the end.
+     */
     private static final double LATE_DEVIATIONS = 3;
     /** Time without an accepted request after which the balancer is assumed to send no more, in nanoseconds. */
     private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** Time reserved at the end of the grace period for the last messages and the exit of the process, in nanoseconds. */
+    /**
+     * Time reserved at the end of the grace period for the last messages and the exit of the process, in nanoseconds.
+     */
     private static final long END_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
     /** Retry delay where another entry can accept the request, in milliseconds: a new connection is enough. */
     private static final long ELSEWHERE_MILLIS = 100;
     /**
-     * Time from the end of a process until its successor receives requests, in milliseconds: 1.2 s to start, 1 s until the
-     * balancer notices.
+     * Time from the end of a process until its successor receives requests, in milliseconds: 1.2 s to start, 1 s until
+     * the balancer notices.
      */
     private static final long RESTART_MILLIS = 2_200;
 
@@ -57,15 +62,19 @@
     }
 
     /**
-     * Returns how long a request that is accepted now may run, in milliseconds; 0 or negative if none is accepted. Once the
-     * balancer must have noticed, requests arrive only where all processes shut down: then the processes stop accepting one after
-     * the other, in the order of their ranks, so that the first have restarted before the last have ended.
+     * Returns how long a request that is accepted now may run, in milliseconds; 0 or negative if none is accepted. Once
+     * the balancer must have noticed, requests arrive only where all processes shut down: then the processes stop
+     * accepting one after the other, in the order of their ranks, so that the first have restarted before the last have
+     * ended.
      */
     public long remainingMillis(long now) {
         return TimeUnit.NANOSECONDS.toMillis((isNoticed(now) ? acceptUntil : endsAt) - now);
     }
 
-    /** Returns the certainty required of a request's end for it to be accepted, in standard deviations above its median duration. */
+    /**
+     * Returns the certainty required of a request's end for it to be accepted, in standard deviations above its median
+     * duration.
+     */
     public double requiredDeviations(long now) {
         return isNoticed(now) ? LATE_DEVIATIONS : EARLY_DEVIATIONS;
     }
@@ -80,10 +89,10 @@
     }
 
     /**
-     * Returns after which time a caller that is refused because this entry stops should retry, in milliseconds. A caller that is
-     * still sent here after the balancer must have noticed finds no other entry: this entry's successor is the next one known.
-     * Callers that are refused until the successor has started retry spread over as long a time as that in which they were
-     * refused, because the successor has just started.
+     * Returns after which time a caller that is refused because this entry stops should retry, in milliseconds. A
+     * caller that is still sent here after the balancer must have noticed finds no other entry: this entry's successor
+     * is the next one known. Callers that are refused until the successor has started retry spread over as long a time
+     * as that in which they were refused, because the successor has just started.
      *
      * @param now the monotonic time, in nanoseconds
      * @param draw a random number, uniformly distributed from 0 to 1
@@ -97,9 +106,9 @@
     }
 
     /**
-     * Returns after which time a caller should retry that was refused for lack of capacity, which this entry expects to have after
-     * {@code roomMillis}. A request that waits so long for capacity needs about as long again once there is some; where both fit
-     * in the remaining time, this entry serves it sooner than its successor.
+     * Returns after which time a caller should retry that was refused for lack of capacity, which this entry expects to
+     * have after {@code roomMillis}. A request that waits so long for capacity needs about as long again once there is
+     * some; where both fit in the remaining time, this entry serves it sooner than its successor.
      */
     public long retryAfterMillis(long now, double draw, long roomMillis) {
         return 2 * roomMillis <= remainingMillis(now) ? roomMillis : retryAfterMillis(now, draw);
@@ -115,7 +124,10 @@
         return now - endsAt >= 0;
     }
 
-    /** Returns whether the process may end before the grace period does: no request is in progress, and none arrives any more. */
+    /**
+     * Returns whether the process may end before the grace period does: no request is in progress, and none arrives any
+     * more.
+     */
     public boolean mayEndEarly(long now, int requestsInProgress) {
         boolean noneArrives = now - lastAcceptedAt > IDLE_NANOS || now - acceptUntil >= 0;
         return requestsInProgress == 0 && isNoticed(now) && noneArrives;
--- a/core/src/main/java/org/quetzalseam/core/generation/EnginePrefillModel.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/EnginePrefillModel.java
@@ -4,22 +4,29 @@
 import java.util.Deque;
 
 /**
- * Estimates how fast one engine prefills prompts, and how long its backlog before a new prompt is, from the calls of one entry.
- * Not thread-safe; times are monotonic and passed in, in nanoseconds.
+ * Estimates how fast one engine prefills prompts, and how long its backlog before a new prompt is, from the calls of
+ * one entry. Not thread-safe; times are monotonic and passed in, in nanoseconds.
  *
- * <p>The time of an answer is split in two: the part that this entry's own prompts account for at the estimated pace, and the
- * rest, which is the backlog of other entries' prompts before them. An overdue prompt shows as much as an answer. A pace is in
- * milliseconds per token; {@code meanPace} is that of all engines, used while this engine's own is unknown.
+ * <p>The time of an answer is split in two: the part that this entry's own prompts account for at the estimated pace,
+ * and the rest, which is the backlog of other entries' prompts before them. An overdue prompt shows as much as an
+ * answer. A pace is in milliseconds per token; {@code meanPace} is that of all engines, used while this engine's own is
+ * unknown.
  */
 final class EnginePrefillModel {
-    /** Weight of a prefill faster than the estimated pace: load can only slow a prefill, so a fast one is near the true pace. */
+    /**
+     * Weight of a prefill faster than the estimated pace: load can only slow a prefill, so a fast one is near the true
+     * pace.
+     */
     private static final double FASTER_WEIGHT = 0.5;
     /**
-     * Weight of a slower one, which other entries' prompts may have delayed: until the pace follows, an engine that has become
-     * slow shows as a longer backlog of others.
+     * Weight of a slower one, which other entries' prompts may have delayed: until the pace follows, an engine that has
+     * become slow shows as a longer backlog of others.
      */
     private static final double SLOWER_WEIGHT = 0.03;
-    /** Weight of the newest answer in the backlog of others: what it shows is already older than the answer by the time in queue. */
+    /**
+     * Weight of the newest answer in the backlog of others: what it shows is already older than the answer by the time
+     * in queue.
+     */
     private static final double NEWEST_BACKLOG_WEIGHT = 0.5;
 
     private final Deque<Prefill> inProgress = new ArrayDeque<>();
@@ -101,7 +108,9 @@
         return ownBacklogMillis(now, meanPace) + Math.max(othersBacklogMillis(now), overdueMillis(now));
     }
 
-    /** Returns how long after now the prefill of a prompt that is sent now is predicted to complete, in milliseconds. */
+    /**
+     * Returns how long after now the prefill of a prompt that is sent now is predicted to complete, in milliseconds.
+     */
     double completionMillis(int tokens, long now, double meanPace) {
         return waitMillis(now, meanPace) + tokens * pace(meanPace);
     }
@@ -137,8 +146,8 @@
     }
 
     /**
-     * Returns the backlog of others, decayed since the last answer: entries that see a long queue add nothing to it, so the
-     * engine works it off as time passes.
+     * Returns the backlog of others, decayed since the last answer: entries that see a long queue add nothing to it, so
+     * the engine works it off as time passes.
      */
     private double othersBacklogMillis(long now) {
         return Math.max(0, othersBacklogMillis - millis(now - othersBacklogAt));
--- a/core/src/main/java/org/quetzalseam/core/generation/InPlacePrefill.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/InPlacePrefill.java
@@ -11,24 +11,28 @@
 import java.util.function.Predicate;
 
 /**
- * Selects a decode engine that may prefill a prompt itself, between the tokens of the streams that it runs. Not thread-safe;
- * times are monotonic and passed in, in nanoseconds.
+ * Selects a decode engine that may prefill a prompt itself, between the tokens of the streams that it runs. Not
+ * thread-safe; times are monotonic and passed in, in nanoseconds.
  *
- * <p>Such a prefill delays every stream of its engine. Two that overlap delay them for longer than their callers are promised,
- * and entries do not see each other's prefills. So each engine is assigned to one entry for this purpose, and that entry leaves
- * time between two prefills in which the streams go on.
+ * <p>Such a prefill delays every stream of its engine. Two that overlap delay them for longer than their callers are
+ * promised, and entries do not see each other's prefills. So each engine is assigned to one entry for this purpose, and
+ * that entry leaves time between two prefills in which the streams go on.
  *
  * @param <E> the type of engines
  */
 public final class InPlacePrefill<E> {
     /**
-     * Prefill time of a decode engine, as a multiple of what the answers of a prefill engine show. A decode engine prefills at
-     * half the speed, but the answer times of a prefill engine also include fixed parts and a queue, which take as long again.
+     * Prefill time of a decode engine, as a multiple of what the answers of a prefill engine show. A decode engine
+     * prefills at half the speed, but the answer times of a prefill engine also include fixed parts and a queue, which
+     * take as long again.
      */
     private static final double TIME_RATIO = 1;
     /** Share of the longest acceptable pause that a prefill may take: the tokens between its chunks take the rest. */
     private static final double PAUSE_SHARE = 0.75;
-    /** Time from the start of one prefill to the next, in predicted prefill times: after each the streams go on for as long. */
+    /**
+     * Time from the start of one prefill to the next, in predicted prefill times: after each the streams go on for as
+     * long.
+     */
     private static final double SPACING_RATIO = 2;
 
     private final Map<E, Long> freeAt = new HashMap<>();
@@ -36,8 +40,8 @@
     private int rank;
 
     /**
-     * Sets the number of entries among which the engines are divided and this entry's rank, from 0. Before the first call no
-     * engine is assigned to this entry.
+     * Sets the number of entries among which the engines are divided and this entry's rank, from 0. Before the first
+     * call no engine is assigned to this entry.
      */
     public void updateEntries(int entryCount, int entryRank) {
         entries = entryCount;
--- a/core/src/main/java/org/quetzalseam/core/generation/MemoryBooking.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/MemoryBooking.java
@@ -3,9 +3,10 @@
 /**
  * Computes how much decode memory to book for a generation before its prefill. Not thread-safe.
  *
- * <p>Booking too little makes an engine preempt a generation and prefill it again, which wastes more than the generation is
- * worth; booking too much leaves memory idle. So there are two sizes: a generation is admitted only where it would fit even if
- * it became long, but only its usual size stays booked. The headroom that short generations leave serves those that become long.
+ * <p>Booking too little makes an engine preempt a generation and prefill it again, which wastes more than the
+ * generation is worth; booking too much leaves memory idle. So there are two sizes: a generation is admitted only where
+ * it would fit even if it became long, but only its usual size stays booked. The headroom that short generations leave
+ * serves those that become long.
  */
 public final class MemoryBooking {
     private final OutputLengthModel lengths = new OutputLengthModel();
@@ -47,8 +48,8 @@
     }
 
     /**
-     * Returns the expected cost of a generation, in tokens of memory times tokens of output: it holds its prompt, and on
-     * average half of its output, for as long as its output takes.
+     * Returns the expected cost of a generation, in tokens of memory times tokens of output: it holds its prompt, and
+     * on average half of its output, for as long as its output takes.
      */
     public double expectedCost(TokenDemand demand) {
         double output = outputTokens(demand, 0);
--- a/core/src/main/java/org/quetzalseam/core/generation/OrderEpoch.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/OrderEpoch.java
@@ -3,9 +3,9 @@
 import org.quetzalseam.core.store.StorePosition;
 
 /**
- * Computes the epochs of a lease, which number its successive holdings, from the position of its record in the store. A later
- * epoch is higher even where no process knows the earlier ones, because no revision is issued twice within an era and a later
- * era outranks any revision of an earlier one. Stateless.
+ * Computes the epochs of a lease, which number its successive holdings, from the position of its record in the store. A
+ * later epoch is higher even where no process knows the earlier ones, because no revision is issued twice within an era
+ * and a later era outranks any revision of an earlier one. Stateless.
  */
 public final class OrderEpoch {
     /** Largest epoch: up to 2^53 - 1 every JSON parser represents whole numbers exactly. */
--- a/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
@@ -4,13 +4,13 @@
 import org.quetzalseam.core.store.StorePosition;
 
 /**
- * Tracks, in one process, a lease that is a record in a shared store: who holds it, and when it may be taken over or used to
- * send orders. Not thread-safe.
+ * Tracks, in one process, a lease that is a record in a shared store: who holds it, and when it may be taken over or
+ * used to send orders. Not thread-safe.
  *
- * <p>The record's position rises with each renewal. A process takes a lease over when that position has not
- * changed for much longer than the renewal interval, by its own monotonic clock; the takeover is conditional on that position,
- * so that only one process wins. A holder sends an order only right after a renewal, and a new holder only once any order of the
- * previous holder has long been processed.
+ * <p>The record's position rises with each renewal. A process takes a lease over when that position has not changed for
+ * much longer than the renewal interval, by its own monotonic clock; the takeover is conditional on that position, so
+ * that only one process wins. A holder sends an order only right after a renewal, and a new holder only once any order
+ * of the previous holder has long been processed.
  */
 public final class OrderLease {
     /** Number of renewals that may be missed before the lease is taken over. */
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Returns whether an order may be sent now. Both clocks have to agree that the renewal is recent, because the monotonic one
-     * does not count the time for which a machine was suspended, and the time of day may jump.
+     * Returns whether an order may be sent now. Both clocks have to agree that the renewal is recent, because the
+     * monotonic one does not count the time for which a machine was suspended, and the time of day may jump.
      */
     public boolean mayOrder(long monotonicNanos, long wallMillis) {
         long monotonicAgeMillis = TimeUnit.NANOSECONDS.toMillis(monotonicNanos - renewedMonotonicNanos);
--- a/core/src/main/java/org/quetzalseam/core/generation/OutputLengthModel.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/OutputLengthModel.java
@@ -3,18 +3,21 @@
 /**
  * Predicts how long generations become from the caller's estimate. Not thread-safe.
  *
- * <p>The model assumes that the logarithm of the length depends linearly on that of the estimate, with a normally distributed
- * error. The line is fitted by least squares over the recorded lengths, with exponentially decaying weights. An estimate far from
- * the usual is mostly an estimate that is far off, so the line is flatter than the identity, and the error about it is smaller
- * than that of the estimate itself. Lengths may be counted in any unit, such as events or milliseconds: the estimates are right in
- * the median, which gives the number of tokens in a unit.
+ * <p>The model assumes that the logarithm of the length depends linearly on that of the estimate, with a normally
+ * distributed error. The line is fitted by least squares over the recorded lengths, with exponentially decaying
+ * weights. An estimate far from the usual is mostly an estimate that is far off, so the line is flatter than the
+ * identity, and the error about it is smaller than that of the estimate itself. Lengths may be counted in any unit,
+ * such as events or milliseconds: the estimates are right in the median, which gives the number of tokens in a unit.
  */
 public final class OutputLengthModel {
     /** Factor applied to the weight of earlier lengths with each new one: about the last two hundred count. */
     private static final double DECAY = 0.995;
     /** Number of recorded lengths that weigh as much as the assumptions below. */
     private static final double ASSUMED_WEIGHT = 12;
-    /** Assumed slope of the line: an estimate twice as long predicts an output longer by about half an octave, a usual regression. */
+    /**
+     * Assumed slope of the line: an estimate twice as long predicts an output longer by about half an octave, a usual
+     * regression.
+     */
     private static final double ASSUMED_SLOPE = 0.6;
     /** Assumed spread of the estimates, as the variance of their logarithm: a factor of about 1.65 either way. */
     private static final double ASSUMED_VARIANCE = 0.25;
@@ -28,7 +31,10 @@
     private double lengthSquares;
     private double products;
 
-    /** Records a generation that ended normally: the caller's estimate, and its length in any unit. Ignored unless both are above 0. */
+    /**
+     * Records a generation that ended normally: the caller's estimate, and its length in any unit. Ignored unless both
+     * are above 0.
+     */
     public void recordLength(double estimate, double length) {
         if (!(estimate > 0) || !(length > 0)) {
             return;
@@ -46,7 +52,8 @@
     }
 
     /**
-     * Returns the number of output tokens that a generation stays below, with a probability given in standard deviations.
+     * Returns the number of output tokens that a generation stays below, with a probability given in standard
+     * deviations.
      *
      * @param estimate the caller's estimate, in tokens
      * @param deviations how many standard deviations above the median: 0 for one in two, 1.28 for nine in ten
@@ -58,7 +65,8 @@
     }
 
     /**
-     * Returns the length that a generation stays below, in the unit of the recorded lengths; requires at least one recorded length.
+     * Returns the length that a generation stays below, in the unit of the recorded lengths; requires at least one
+     * recorded length.
      *
      * @param estimate the caller's estimate, in tokens
      * @param deviations how many standard deviations above the median
--- a/core/src/main/java/org/quetzalseam/core/generation/PrefillPlanner.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/PrefillPlanner.java
@@ -8,41 +8,55 @@
 import java.util.function.Predicate;
 
 /**
- * Decides at which engine one entry has a prompt prefilled, and whether to begin at all. Not thread-safe; times are monotonic and
- * passed in, in nanoseconds.
+ * Decides at which engine one entry has a prompt prefilled, and whether to begin at all. Not thread-safe; times are
+ * monotonic and passed in, in nanoseconds.
  *
- * <p>Entries do not communicate about this: each judges engines by its own answers. A prompt goes to the engine that is predicted
- * to complete its prefill first. A prompt that cannot be in time is begun only while the backlog is so short that later prompts
- * still can, so that under any load the engines prefill prompts whose callers still wait for the answer.
+ * <p>Entries do not communicate about this: each judges engines by its own answers. A prompt goes to the engine that is
+ * predicted to complete its prefill first. A prompt that cannot be in time is begun only while the backlog is so short
+ * that later prompts still can, so that under any load the engines prefill prompts whose callers still wait for the
+ * answer.
  *
  * <p>A pace is in milliseconds per token.
  *
  * @param <E> the type of engines
  */
 public final class PrefillPlanner<E> {
-    /** Initial value of the largest overrun, the ratio of a prefill's time to its prediction; decays within some fifty prefills. */
+    /**
+     * Initial value of the largest overrun, the ratio of a prefill's time to its prediction; decays within some fifty
+     * prefills.
+     */
     private static final double FIRST_OVERRUN_RATIO = 4;
     /** Factor applied to the largest overrun with each prefill. */
     private static final double OVERRUN_RATIO_DECAY = 0.98;
     /**
-     * Time without an answer after which an engine counts as unresponsive, as a multiple of the time with the largest overrun: a
-     * prefill that is merely slower than any recent one does not count.
+     * Time without an answer after which an engine counts as unresponsive, as a multiple of the time with the largest
+     * overrun: a prefill that is merely slower than any recent one does not count.
      */
     private static final double UNRESPONSIVE_RATIO = 2;
     /** Weight of the newest prefill in the means: about the last twenty count. */
     private static final double NEWEST_WEIGHT = 0.05;
-    /** Share of the objective that the backlog may take before late prompts are refused: the other half is for those in time. */
+    /**
+     * Share of the objective that the backlog may take before late prompts are refused: the other half is for those in
+     * time.
+     */
     private static final double LATE_BACKLOG_SHARE = 0.5;
     /**
-     * Share of the objective that a prefill is assumed to take before the first answer: no pool could meet an objective that leaves
-     * no room for a queue. If this is too low, some tens of prompts too many begin; if it is too high, the first answer corrects it.
+     * Share of the objective that a prefill is assumed to take before the first answer: no pool could meet an objective
+     * that leaves no room for a queue. If this is too low, some tens of prompts too many begin; if it is too high, the
+     * first answer corrects it.
      */
     private static final double ASSUMED_PREFILL_SHARE = 0.25;
-    /** Backlog below which an engine counts as idle, in prompts of mean size: less than the prompt that is being prefilled. */
+    /**
+     * Backlog below which an engine counts as idle, in prompts of mean size: less than the prompt that is being
+     * prefilled.
+     */
     private static final double IDLE_PROMPTS = 0.5;
     /** Prompts per engine that are begun before any prefill has completed: one in progress and one that follows. */
     private static final int TRIAL_PROMPTS_PER_ENGINE = 2;
-    /** Backlog before late prompts are refused, in prompts of mean size, where the objective's share is shorter than that. */
+    /**
+     * Backlog before late prompts are refused, in prompts of mean size, where the objective's share is shorter than
+     * that.
+     */
     private static final double LATE_BACKLOG_PROMPTS = 1;
 
     private final Map<E, EnginePrefillModel> models = new HashMap<>();
@@ -120,9 +134,9 @@
         }
 
         /**
-         * Returns whether to retry it at another engine: its engine has been unresponsive for much longer than slowness explains,
-         * and another engine would complete it in less time than that. An engine that has not answered since this prefill began
-         * may be as slow, so it is considered only after twice the time.
+         * Returns whether to retry it at another engine: its engine has been unresponsive for much longer than slowness
+         * explains, and another engine would complete it in less time than that. An engine that has not answered since
+         * this prefill began may be as slow, so it is considered only after twice the time.
          *
          * @param others the engines that may prefill it
          * @param removed whether its engine is no longer listed
@@ -142,8 +156,8 @@
         }
 
         /**
-         * Returns the time without an answer after which the engine counts as unresponsive, in milliseconds; 0 while nothing is
-         * known.
+         * Returns the time without an answer after which the engine counts as unresponsive, in milliseconds; 0 while
+         * nothing is known.
          */
         public double unresponsiveLimitMillis() {
             return UNRESPONSIVE_RATIO * maxOverrunRatio * Math.max(predictedMillis(), meanPrefillMillis(meanTokens));
--- a/core/src/main/java/org/quetzalseam/core/generation/PrefillQueue.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/PrefillQueue.java
@@ -6,20 +6,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Queue of one entry's prompts that wait until the engines have time for them, ordered as their prefills are to begin. Not
- * thread-safe; times are monotonic and passed in, in nanoseconds.
+ * Queue of one entry's prompts that wait until the engines have time for them, ordered as their prefills are to begin.
+ * Not thread-safe; times are monotonic and passed in, in nanoseconds.
  *
- * <p>A burst of some seconds brings more prompts than the engines can prefill in it, and the lull after it fewer. A prompt that
- * waits here can be answered late, in the lull; if it were refused, its caller would retry with a request that looks new, and take
- * the place of a prompt that could be in time. So prompts that can be in time go first, the most urgent before the others, and
- * late ones follow in the order of their arrival.
+ * <p>A burst of some seconds brings more prompts than the engines can prefill in it, and the lull after it fewer. A
+ * prompt that waits here can be answered late, in the lull; if it were refused, its caller would retry with a request
+ * that looks new, and take the place of a prompt that could be in time. So prompts that can be in time go first, the
+ * most urgent before the others, and late ones follow in the order of their arrival.
  *
  * @param <T> the type of queued prompts
  */
 public final class PrefillQueue<T> {
     /**
-     * Maximum wait of a prompt, as a share of the time that its caller waits without an event. The rest is for booking memory,
-     * prefill and the first event: of a caller timeout of four objectives of 0.9 s that leaves 1.3 s, more than an objective.
+     * Maximum wait of a prompt, as a share of the time that its caller waits without an event. The rest is for booking
+     * memory, prefill and the first event: of a caller timeout of four objectives of 0.9 s that leaves 1.3 s, more than
+     * an objective.
      */
     private static final double MAX_WAIT_SHARE = 0.65;
 
--- a/core/src/main/java/org/quetzalseam/core/generation/StageSplit.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/StageSplit.java
@@ -9,11 +9,12 @@
 /**
  * Decides how many of a service's engines prefill and how many decode. Not thread-safe.
  *
- * <p>Before any load has been observed, the split follows the share that the operators configure. Then it follows the load:
- * prefill engines that can be spared change to decode when decode memory is short, and back when prompts wait while decode memory
- * is free. A pool that has lost its last prefill engine gets one back at once. A change takes engines out of service for seconds,
- * so a decision needs a window of samples and a clear case, and moves only a part of the engines; it may move several, because in
- * a large pool one engine at a time would follow the load only within minutes.
+ * <p>Before any load has been observed, the split follows the share that the operators configure. Then it follows the
+ * load: prefill engines that can be spared change to decode when decode memory is short, and back when prompts wait
+ * while decode memory is free. A pool that has lost its last prefill engine gets one back at once. A change takes
+ * engines out of service for seconds, so a decision needs a window of samples and a clear case, and moves only a part
+ * of the engines; it may move several, because in a large pool one engine at a time would follow the load only within
+ * minutes.
  */
 public final class StageSplit {
     /** Weight of the newest sample: with one sample per second, about the last six seconds count. */
@@ -21,11 +22,14 @@
     /** Samples after the start or a change before the load decides: until the averages have settled. */
     private static final int SETTLE_SAMPLES = 8;
     /**
-     * Samples for which the set of engines must not have changed before the assumed share is followed: at a start they register
-     * one by one.
+     * Samples for which the set of engines must not have changed before the assumed share is followed: at a start they
+     * register one by one.
      */
     private static final int UNCHANGED_SAMPLES = 3;
-    /** Share of the time that prefill engines may be busy after one of them has been moved: room for bursts of twice the mean. */
+    /**
+     * Share of the time that prefill engines may be busy after one of them has been moved: room for bursts of twice the
+     * mean.
+     */
     private static final double SPARE_PREFILL_BUSY = 0.5;
     /** Use of decode memory above which another decode engine is wanted. */
     private static final double SHORT_FILL = 0.6;
@@ -34,7 +38,10 @@
     /** Use of decode memory, after an engine has been moved, below which it can be spared. */
     private static final double SPARE_FILL = 0.55;
 
-    /** Maximum share of a pool's engines that change at once: the others must be able to do without those that are out of service. */
+    /**
+     * Maximum share of a pool's engines that change at once: the others must be able to do without those that are out
+     * of service.
+     */
     private static final double MAX_MOVED_SHARE = 0.125;
 
     private final double assumedPrefillShare;
@@ -148,9 +155,9 @@
     }
 
     /**
-     * Returns whether a change reduces the use of the fuller pool by more than the share of all engines that it takes out of
-     * service. Where it does not, as with one of two prefill engines and a decode pool that is filled to three fifths, the next
-     * burst finds the other pool short, and an engine that is moved back is out of service once more.
+     * Returns whether a change reduces the use of the fuller pool by more than the share of all engines that it takes
+     * out of service. Where it does not, as with one of two prefill engines and a decode pool that is filled to three
+     * fifths, the next burst finds the other pool short, and an engine that is moved back is out of service once more.
      */
     private boolean isWorthMoving(int prefill, int decode, int moved) {
         double before = Math.max(busy / prefill, fill);
@@ -180,7 +187,10 @@
         return spare;
     }
 
-    /** Selects the least loaded engines to change; among equals those with the lowest ids, so that every process selects the same. */
+    /**
+     * Selects the least loaded engines to change; among equals those with the lowest ids, so that every process selects
+     * the same.
+     */
     private static List<Change> changes(List<EngineSample> engines, Stage from, Stage to, int count, String reason) {
         return engines.stream()
                 .filter(engine -> engine.stage() == from)
--- a/core/src/main/java/org/quetzalseam/core/limits/EntryLimiter.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/EntryLimiter.java
@@ -8,7 +8,8 @@
  * Applies the rate and concurrency limits of catalogue entries at one entry process. Each process applies its share of
  * a limit: the limit divided by the number of entry processes, never less than one request.
  *
- * <p>Thread-safe. Limits follow the {@link EntrySpec} that each call passes, so a catalogue change takes effect at once.
+ * <p>Thread-safe. Limits follow the {@link EntrySpec} that each call passes, so a catalogue change takes effect at
+ * once.
  */
 public final class EntryLimiter {
     /** Size of a burst, in seconds at the limit's rate. */
--- a/core/src/main/java/org/quetzalseam/core/limits/IdleLimit.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/IdleLimit.java
@@ -5,9 +5,9 @@
 /**
  * Limits how long a kept-alive connection to one endpoint may be idle and still be used again. Not thread-safe.
  *
- * <p>An endpoint states how long it keeps an idle connection, but may drop one sooner, without notice: the next request on it is
- * lost, and may not be retried where it is not idempotent. Each such loss lowers the limit well below the idle time that it came
- * after; the limit rises again while no request is lost.
+ * <p>An endpoint states how long it keeps an idle connection, but may drop one sooner, without notice: the next request
+ * on it is lost, and may not be retried where it is not idempotent. Each such loss lowers the limit well below the idle
+ * time that it came after; the limit rises again while no request is lost.
  */
 public final class IdleLimit {
     /** Share of the idle time before a loss that still counts as safe. */
--- a/core/src/main/java/org/quetzalseam/core/limits/RetryAllowance.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/RetryAllowance.java
@@ -4,23 +4,28 @@
 import java.util.Deque;
 
 /**
- * One entry's share of a retry budget that all entries have in common. Not thread-safe. Times are monotonic, in nanoseconds.
+ * One entry's share of a retry budget that all entries have in common. Not thread-safe. Times are monotonic, in
+ * nanoseconds.
  *
- * <p>The common budget for a window is {@code ratio} times the requests plus a slack. An entry uses {@code ratio} times its own
- * requests, which adds up to the common ratio however traffic is divided among entries, and an equal part of the slack; until it
- * knows the number of entries, a part so small that it suffices for {@link #ASSUMED_ENTRIES} of them.
+ * <p>The common budget for a window is {@code ratio} times the requests plus a slack. An entry uses {@code ratio} times
+ * its own requests, which adds up to the common ratio however traffic is divided among entries, and an equal part of
+ * the slack; until it knows the number of entries, a part so small that it suffices for {@link #ASSUMED_ENTRIES} of
+ * them.
  *
- * <p>A process does not know what previous incarnations of the same entry have spent in the window. So an entry's part of the
- * slack has two parts: one for a process that has been up for a whole window, and a smaller one for all younger processes
- * together, which grows linearly with a process's age. However often an entry is restarted in a window, it spends both at most.
+ * <p>A process does not know what previous incarnations of the same entry have spent in the window. So an entry's part
+ * of the slack has two parts: one for a process that has been up for a whole window, and a smaller one for all younger
+ * processes together, which grows linearly with a process's age. However often an entry is restarted in a window, it
+ * spends both at most.
  */
 public final class RetryAllowance {
     /**
-     * Number of entries assumed until it is known: that of a large site of one region. Up to this number the parts of the slack
-     * add up to no more than the whole.
+     * Number of entries assumed until it is known: that of a large site of one region. Up to this number the parts of
+     * the slack add up to no more than the whole.
      */
     static final int ASSUMED_ENTRIES = 24;
-    /** Part of the ratio that is used, because requests and retries fall into sliding windows that do not quite agree. */
+    /**
+     * Part of the ratio that is used, because requests and retries fall into sliding windows that do not quite agree.
+     */
     private static final double RATIO_USED = 0.8;
     /** Part of the slack for a process that has been up for a whole window. */
     private static final double ESTABLISHED_SHARE = 0.8;
@@ -81,8 +86,8 @@
     }
 
     /**
-     * Spends several retries, one for each call that will follow a request's first. Returns false, and spends none, if fewer are
-     * left.
+     * Spends several retries, one for each call that will follow a request's first. Returns false, and spends none, if
+     * fewer are left.
      */
     public boolean tryRetries(long now, int count) {
         trim(now);
--- a/core/src/test/java/org/quetzalseam/core/drain/AnswerTimeModelTest.java
+++ b/core/src/test/java/org/quetzalseam/core/drain/AnswerTimeModelTest.java
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Sizes span two orders of magnitude, and estimates are right in the median and off by half an octave: few answers exceed their
-     * bound.
+     * Sizes span two orders of magnitude, and estimates are right in the median and off by half an octave: few answers
+     * exceed their bound.
      */
     @Test
     void theBoundFollowsTheCallersEstimate() {
--- a/core/src/test/java/org/quetzalseam/core/drain/GracePeriodTest.java
+++ b/core/src/test/java/org/quetzalseam/core/drain/GracePeriodTest.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Four processes that receive the signal at once: each stops accepting 1.15 s after the previous one, so that the first has
-     * restarted before the last ends.
+     * Four processes that receive the signal at once: each stops accepting 1.15 s after the previous one, so that the
+     * first has restarted before the last ends.
      */
     @Test
     void processesThatShutDownTogetherStopAcceptingOneAfterTheOther() {
--- a/core/src/test/java/org/quetzalseam/core/drain/RetryAfterTest.java
+++ b/core/src/test/java/org/quetzalseam/core/drain/RetryAfterTest.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Guards against all callers that were refused over seconds retrying at one moment, at a successor that has just started and has
-     * no statistics yet.
+     * Guards against all callers that were refused over seconds retrying at one moment, at a successor that has just
+     * started and has no statistics yet.
      */
     @Test
     void callersRefusedOverSecondsDoNotRetryAtOneMoment() {
--- a/core/src/test/java/org/quetzalseam/core/generation/InPlacePrefillTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/InPlacePrefillTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Prefill engines answer for a prompt of 5,000 tokens in 175 ms; a decode engine takes about as long, and its streams nearly stop
- * meanwhile. Callers are promised pauses of 300 ms at most.
+ * Prefill engines answer for a prompt of 5,000 tokens in 175 ms; a decode engine takes about as long, and its streams
+ * nearly stop meanwhile. Callers are promised pauses of 300 ms at most.
  */
 class InPlacePrefillTest {
     private static final double PACE = 0.035;
--- a/core/src/test/java/org/quetzalseam/core/generation/MemoryBookingTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/MemoryBookingTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests booking under a burst that fills every engine, of generations whose lengths are not known beforehand. Lengths and
- * estimates are each spread by a factor of e^0.5, as measured on answers of two deployments.
+ * Tests booking under a burst that fills every engine, of generations whose lengths are not known beforehand. Lengths
+ * and estimates are each spread by a factor of e^0.5, as measured on answers of two deployments.
  */
 class MemoryBookingTest {
     private static final int BLOCK = 16;
--- a/core/src/test/java/org/quetzalseam/core/generation/PrefillPlannerTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillPlannerTest.java
@@ -58,7 +58,10 @@
         }
     }
 
-    /** A prefill takes two fifths of the objective or more: at full load many are late, but prompts that are begun are answered. */
+    /**
+     * A prefill takes two fifths of the objective or more: at full load many are late, but prompts that are begun are
+     * answered.
+     */
     @ParameterizedTest(name = "load {0}, {1} tokens per ms, interleaved {2}")
     @CsvSource({
         "2, 14, true", "2, 14, false", "4, 14, true", "4, 14, false",
@@ -89,7 +92,10 @@
         }
     }
 
-    /** Shows the failure that the planner prevents: under overload, engines spend most of their time on prompts that were cancelled. */
+    /**
+     * Shows the failure that the planner prevents: under overload, engines spend most of their time on prompts that
+     * were cancelled.
+     */
     @Test
     void aFixedTimeoutWastesMostOfTheEnginesWork() {
         PrefillSimulation.Result result =
--- a/core/src/test/java/org/quetzalseam/core/generation/PrefillQueueTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillQueueTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against prompts that are refused although they could be answered late. A burst of twice the mean load for four seconds,
- * at engines that can prefill 1.3 times the mean, leaves some forty prompts that cannot be in time, but are prefilled in the lull
- * after it if they wait. Callers of a stream wait four objectives of 900 ms without an event.
+ * Guards against prompts that are refused although they could be answered late. A burst of twice the mean load for four
+ * seconds, at engines that can prefill 1.3 times the mean, leaves some forty prompts that cannot be in time, but are
+ * prefilled in the lull after it if they wait. Callers of a stream wait four objectives of 900 ms without an event.
  */
 class PrefillQueueTest {
     private static final double OBJECTIVE = 900;
--- a/core/src/test/java/org/quetzalseam/core/generation/PrefillSimulation.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillSimulation.java
@@ -66,7 +66,10 @@
         }
     }
 
-    /** Prompt tokens prefilled in time, late, and in all, including wasted ones, as shares of what the engines could have prefilled. */
+    /**
+     * Prompt tokens prefilled in time, late, and in all, including wasted ones, as shares of what the engines could
+     * have prefilled.
+     */
     record Result(double inTime, double late, double total) {}
 
     private final double tokensPerMilli;
@@ -81,7 +84,10 @@
     private double tokensLate;
     private double tokensTotal;
 
-    /** Creates a simulation; if {@code interleaved}, engines alternate between prompts by chunks, else they prefill one after the other. */
+    /**
+     * Creates a simulation; if {@code interleaved}, engines alternate between prompts by chunks, else they prefill one
+     * after the other.
+     */
     PrefillSimulation(
             Entries maker, int entryCount, int engineCount, double tokensPerMilli, boolean interleaved, long seed) {
         this.tokensPerMilli = tokensPerMilli;
--- a/core/src/test/java/org/quetzalseam/core/generation/StageSplitTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/StageSplitTest.java
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Guards against a change that costs more than it gains. Two of six engines prefill and are busy for a quarter of the time; the
-     * memory of the others is filled to 0.62 just before a burst of 2.2 times the mean. With one prefill engine fewer, the burst
-     * would need 1.03 times what the remaining one can prefill, for the rest of the day.
+     * Guards against a change that costs more than it gains. Two of six engines prefill and are busy for a quarter of
+     * the time; the memory of the others is filled to 0.62 just before a burst of 2.2 times the mean. With one prefill
+     * engine fewer, the burst would need 1.03 times what the remaining one can prefill, for the rest of the day.
      */
     @Test
     void aChangeThatRelievesLessThanItTakesOutOfServiceIsNotMade() {
@@ -121,9 +121,9 @@
     }
 
     /**
-     * Guards against a pool without a prefill engine. Engines shut down one after the other under bursts, the last prefill engine
-     * among them, while the decode engines are full: without a prefill engine, each prompt delays the streams of the decode engine
-     * that prefills it for the whole of its prefill.
+     * Guards against a pool without a prefill engine. Engines shut down one after the other under bursts, the last
+     * prefill engine among them, while the decode engines are full: without a prefill engine, each prompt delays the
+     * streams of the decode engine that prefills it for the whole of its prefill.
      */
     @Test
     void aPoolThatHasLostItsLastPrefillEngineGetsOneBackHoweverFullItIs() {
--- a/core/src/test/java/org/quetzalseam/core/limits/EarlierWaitEstimatorTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/EarlierWaitEstimatorTest.java
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Guards against first attempts that are mistaken for retries. Callers each draw their timeout from 11.9 to 16.1 s, as where
-     * persons and not programs stop waiting: four in five wait over 900 ms less than the longest, which is the whole objective of a
-     * first event, though all of them are first attempts.
+     * Guards against first attempts that are mistaken for retries. Callers each draw their timeout from 11.9 to 16.1 s,
+     * as where persons and not programs stop waiting: four in five wait over 900 ms less than the longest, which is the
+     * whole objective of a first event, though all of them are first attempts.
      */
     @Test
     void callersThatBeginWithDifferentWaitsCountAsFirstAttempts() {
@@ -53,7 +53,10 @@
         }
     }
 
-    /** An overload in which every caller is refused once: half of all requests are second attempts, a second or more later. */
+    /**
+     * An overload in which every caller is refused once: half of all requests are second attempts, a second or more
+     * later.
+     */
     @Test
     void retriesAreStillDetectedWhenEveryCallerRetriesOnce() {
         Random random = new Random(7);
--- a/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceRestartTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceRestartTest.java
@@ -49,7 +49,10 @@
         }
     }
 
-    /** Compares the retries in each window with the requests in the same window, in the previous one, or half a window earlier. */
+    /**
+     * Compares the retries in each window with the requests in the same window, in the previous one, or half a window
+     * earlier.
+     */
     private void assertWithinTheBudget() {
         for (long start : retries) {
             long counted = Math.max(
