--- a/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
@@ -14,7 +14,7 @@
  */
 public final class OrderLease {
     /** Number of renewals that may be missed before the lease is taken over. */
-    private static final int MISSED_RENEWALS = 3;
+    private static final int MAX_MISSED_RENEWALS = 3;
     /** How long after the start of a renewal an order may be sent: well within the shortest lease. */
     private static final long ORDER_VALID_MILLIS = 1_000;
 
@@ -83,7 +83,7 @@
     /** Returns whether the holder has not renewed the lease for so long that it may be taken over. */
     public boolean hasLapsed(long now) {
         long unchangedMillis = TimeUnit.NANOSECONDS.toMillis(now - positionChangedAt);
-        return isKnown() && !isHeld() && unchangedMillis > MISSED_RENEWALS * renewMillis;
+        return isKnown() && !isHeld() && unchangedMillis > MAX_MISSED_RENEWALS * renewMillis;
     }
 
     /**
--- a/core/src/main/java/org/quetzalseam/core/generation/StageSplit.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/StageSplit.java
@@ -45,8 +45,11 @@
     private static final double MAX_MOVED_SHARE = 0.125;
 
     private final double assumedPrefillShare;
-    private double busy;
-    private double fill;
+    /** Moving average of the number of busy prefill engines. */
+    private double meanBusyPrefill;
+    /** Moving average of the decode engines' use of memory, from 0 to 1. */
+    private double meanFill;
+
     private int samples;
     private boolean loadSeen;
     private Set<String> knownEngines = Set.of();
@@ -89,8 +92,8 @@
         if (!loadSeen) {
             return;
         }
-        busy += (samples == 0 ? 1 : NEWEST_WEIGHT) * (busyNow - busy);
-        fill += (samples == 0 ? 1 : NEWEST_WEIGHT) * (fillNow - fill);
+        meanBusyPrefill += (samples == 0 ? 1 : NEWEST_WEIGHT) * (busyNow - meanBusyPrefill);
+        meanFill += (samples == 0 ? 1 : NEWEST_WEIGHT) * (fillNow - meanFill);
         samples++;
     }
 
@@ -134,7 +137,8 @@
     }
 
     private List<Change> byLoad(List<EngineSample> engines, int prefill, int decode) {
-        String reason = String.format("busy=%.2f fill=%.2f prefill=%d decode=%d", busy, fill, prefill, decode);
+        String reason =
+                String.format("busy=%.2f fill=%.2f prefill=%d decode=%d", meanBusyPrefill, meanFill, prefill, decode);
         if (prefill == 0 && unchangedSamples >= UNCHANGED_SAMPLES) {
             // Regardless of decode memory use: in-place prefills delay every stream that a decode engine runs.
             return changes(engines, Stage.DECODE, Stage.PREFILL, 1, reason);
@@ -142,13 +146,13 @@
         if (samples < SETTLE_SAMPLES) {
             return List.of();
         }
-        if (fill > SHORT_FILL) {
+        if (meanFill > SHORT_FILL) {
             int moved = sparePrefill(prefill, decode);
             return isWorthMoving(prefill, decode, moved)
                     ? changes(engines, Stage.PREFILL, Stage.DECODE, moved, reason)
                     : List.of();
         }
-        if (prefill > 0 && busy / prefill > SHORT_PREFILL_BUSY) {
+        if (prefill > 0 && meanBusyPrefill / prefill > SHORT_PREFILL_BUSY) {
             return changes(engines, Stage.DECODE, Stage.PREFILL, spareDecode(prefill, decode), reason);
         }
         return List.of();
@@ -160,8 +164,8 @@
      * fifths, the next burst finds the other pool short, and an engine that is moved back is out of service once more.
      */
     private boolean isWorthMoving(int prefill, int decode, int moved) {
-        double before = Math.max(busy / prefill, fill);
-        double after = Math.max(busy / (prefill - moved), fill * decode / (decode + moved));
+        double before = Math.max(meanBusyPrefill / prefill, meanFill);
+        double after = Math.max(meanBusyPrefill / (prefill - moved), meanFill * decode / (decode + moved));
         return before - after > (double) moved / (prefill + decode);
     }
 
@@ -170,7 +174,7 @@
         int spare = 0;
         while (spare < maxMoves(prefill + decode)
                 && prefill - spare > 1
-                && busy / (prefill - spare - 1) < SPARE_PREFILL_BUSY) {
+                && meanBusyPrefill / (prefill - spare - 1) < SPARE_PREFILL_BUSY) {
             spare++;
         }
         return spare;
@@ -181,7 +185,7 @@
         int spare = 0;
         while (spare < maxMoves(prefill + decode)
                 && decode - spare > 1
-                && fill * decode / (decode - spare - 1) < SPARE_FILL) {
+                && meanFill * decode / (decode - spare - 1) < SPARE_FILL) {
             spare++;
         }
         return spare;
--- a/core/src/main/java/org/quetzalseam/core/limits/RetryAllowance.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/RetryAllowance.java
@@ -26,7 +26,7 @@
     /**
      * Part of the ratio that is used, because requests and retries fall into sliding windows that do not quite agree.
      */
-    private static final double RATIO_USED = 0.8;
+    private static final double USED_RATIO_SHARE = 0.8;
     /** Part of the slack for a process that has been up for a whole window. */
     private static final double ESTABLISHED_SHARE = 0.8;
     /** Part of the slack for all younger processes of an entry in a window together. */
@@ -58,7 +58,7 @@
         if (!(ratio >= 0 && ratio <= 1)) {
             throw new IllegalArgumentException("ratio: expected 0 to 1, got " + ratio);
         }
-        this.ratio = ratio * RATIO_USED;
+        this.ratio = ratio * USED_RATIO_SHARE;
         this.commonSlack = slack;
         this.windowNanos = windowNanos;
     }
--- a/core/src/test/java/org/quetzalseam/core/drain/GracePeriodTest.java
+++ b/core/src/test/java/org/quetzalseam/core/drain/GracePeriodTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 
 class GracePeriodTest {
-    private static final long BEGUN = 1_000_000_000L;
+    private static final long BEGUN_NANOS = 1_000_000_000L;
 
-    private final GracePeriod grace = new GracePeriod(BEGUN, TimeUnit.SECONDS.toNanos(8), 0, 1);
+    private final GracePeriod grace = new GracePeriod(BEGUN_NANOS, TimeUnit.SECONDS.toNanos(8), 0, 1);
 
     private static long after(long millis) {
-        return BEGUN + TimeUnit.MILLISECONDS.toNanos(millis);
+        return BEGUN_NANOS + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
     @Test
@@ -78,8 +78,8 @@
      */
     @Test
     void processesThatShutDownTogetherStopAcceptingOneAfterTheOther() {
-        GracePeriod first = new GracePeriod(BEGUN, TimeUnit.SECONDS.toNanos(8), 0, 4);
-        GracePeriod last = new GracePeriod(BEGUN, TimeUnit.SECONDS.toNanos(8), 3, 4);
+        GracePeriod first = new GracePeriod(BEGUN_NANOS, TimeUnit.SECONDS.toNanos(8), 0, 4);
+        GracePeriod last = new GracePeriod(BEGUN_NANOS, TimeUnit.SECONDS.toNanos(8), 3, 4);
         assertThat(first.remainingMillis(after(2_000)))
                 .as("at first all accept what they can")
                 .isEqualTo(5_600);
@@ -95,7 +95,7 @@
 
     @Test
     void aGracePeriodShorterThanTheBalancersNoticeIsNotShared() {
-        GracePeriod shorter = new GracePeriod(BEGUN, TimeUnit.SECONDS.toNanos(2), 0, 400);
+        GracePeriod shorter = new GracePeriod(BEGUN_NANOS, TimeUnit.SECONDS.toNanos(2), 0, 400);
         assertThat(shorter.accept(after(1_400), 100)).isTrue();
     }
 
--- a/core/src/test/java/org/quetzalseam/core/drain/RetryAfterTest.java
+++ b/core/src/test/java/org/quetzalseam/core/drain/RetryAfterTest.java
@@ -10,18 +10,19 @@
 
 /** Tests when callers retry that a draining entry has refused. */
 class RetryAfterTest {
-    private static final long BEGUN = 5_000_000_000L;
+    private static final long BEGUN_NANOS = 5_000_000_000L;
     private static final long GRACE_MILLIS = 8_000;
     /** From the end of a process until its successor listens, in milliseconds. */
     private static final long START_MILLIS = 1_200;
 
-    private final GracePeriod grace = new GracePeriod(BEGUN, TimeUnit.MILLISECONDS.toNanos(GRACE_MILLIS), 0, 1);
+    private final GracePeriod grace = new GracePeriod(BEGUN_NANOS, TimeUnit.MILLISECONDS.toNanos(GRACE_MILLIS), 0, 1);
     private final Random random = new Random(11);
 
     /** Returns when callers retry that are refused at a steady rate, in milliseconds after the signal to stop. */
     private long[] retryTimes() {
         return LongStream.iterate(3_100, at -> at < 7_500, at -> at + 20)
-                .map(at -> at + grace.retryAfterMillis(BEGUN + TimeUnit.MILLISECONDS.toNanos(at), random.nextDouble()))
+                .map(at -> at
+                        + grace.retryAfterMillis(BEGUN_NANOS + TimeUnit.MILLISECONDS.toNanos(at), random.nextDouble()))
                 .sorted()
                 .toArray();
     }
--- a/core/src/test/java/org/quetzalseam/core/generation/InPlacePrefillTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/InPlacePrefillTest.java
@@ -17,8 +17,8 @@
  * nearly stop meanwhile. Callers are promised pauses of 300 ms at most.
  */
 class InPlacePrefillTest {
-    private static final double PACE = 0.035;
-    private static final double PAUSE = 300;
+    private static final double MILLIS_PER_TOKEN = 0.035;
+    private static final double MAX_PAUSE_MILLIS = 300;
     private static final int TOKENS = 5_000;
     private static final List<String> DECODERS = List.of("a", "b", "c", "d");
 
@@ -30,7 +30,7 @@
     }
 
     private Optional<String> selectEngine(InPlacePrefill<String> entry, int tokens) {
-        return entry.selectEngine(DECODERS, Function.identity(), tokens, PACE, PAUSE, now);
+        return entry.selectEngine(DECODERS, Function.identity(), tokens, MILLIS_PER_TOKEN, MAX_PAUSE_MILLIS, now);
     }
 
     @Test
@@ -55,9 +55,9 @@
     void anEntryWithSeveralEnginesUsesThoseThatAreFree() {
         inPlace.updateEntries(2, 1);
         assertThat(selectEngine(TOKENS)).contains("b");
-        inPlace.begin("b", TOKENS, PACE, now);
+        inPlace.begin("b", TOKENS, MILLIS_PER_TOKEN, now);
         assertThat(selectEngine(TOKENS)).contains("d");
-        inPlace.begin("d", TOKENS, PACE, now);
+        inPlace.begin("d", TOKENS, MILLIS_PER_TOKEN, now);
         assertThat(selectEngine(TOKENS)).isEmpty();
         now += TimeUnit.MILLISECONDS.toNanos(360);
         assertThat(selectEngine(TOKENS)).contains("b");
@@ -73,9 +73,9 @@
     @Test
     void nothingIsPrefilledInPlaceWhereThePaceOrTheObjectiveIsUnknown() {
         inPlace.updateEntries(1, 0);
-        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, 0, PAUSE, now))
+        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, 0, MAX_PAUSE_MILLIS, now))
                 .isEmpty();
-        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, PACE, 0, now))
+        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, MILLIS_PER_TOKEN, 0, now))
                 .isEmpty();
     }
 
@@ -97,10 +97,10 @@
             InPlacePrefill<String> entry = entries.get(random.nextInt(5));
             Optional<String> engine = selectEngine(entry, tokens);
             if (engine.isPresent()) {
-                long millis = Math.round(tokens * PACE);
+                long millis = Math.round(tokens * MILLIS_PER_TOKEN);
                 assertThat(freeAt.getOrDefault(engine.get(), now)).isLessThanOrEqualTo(now);
                 freeAt.put(engine.get(), now + TimeUnit.MILLISECONDS.toNanos(millis + 10));
-                entry.begin(engine.get(), tokens, PACE, now);
+                entry.begin(engine.get(), tokens, MILLIS_PER_TOKEN, now);
                 prefills++;
             }
         }
--- a/core/src/test/java/org/quetzalseam/core/generation/OrderLeaseTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/OrderLeaseTest.java
@@ -6,7 +6,7 @@
 import org.quetzalseam.core.store.StorePosition;
 
 class OrderLeaseTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
     private static final long RENEW_MILLIS = 4_000;
     private static final long FIRST_ORDER_DELAY_MILLIS = 5_000;
 
@@ -26,15 +26,15 @@
         hold();
         assertThat(lease.mayOrder(0, 0)).isFalse();
         lease.renewed(0, 0);
-        assertThat(lease.mayOrder(SECOND / 2, 500)).isTrue();
-        assertThat(lease.mayOrder(2 * SECOND, 2_000)).isFalse();
+        assertThat(lease.mayOrder(SECOND_NANOS / 2, 500)).isTrue();
+        assertThat(lease.mayOrder(2 * SECOND_NANOS, 2_000)).isFalse();
     }
 
     @Test
     void aMachineThatWasSuspendedAfterItsRenewalMayNotOrder() {
         hold();
         lease.renewed(0, 0);
-        assertThat(lease.mayOrder(SECOND / 10, 60_000))
+        assertThat(lease.mayOrder(SECOND_NANOS / 10, 60_000))
                 .as("the monotonic clock does not count the suspension, the time of day does")
                 .isFalse();
     }
@@ -43,27 +43,27 @@
     void aTimeOfDayThatJumpsBackStopsOrdersToo() {
         hold();
         lease.renewed(0, 100_000);
-        assertThat(lease.mayOrder(SECOND / 10, 50_000)).isFalse();
+        assertThat(lease.mayOrder(SECOND_NANOS / 10, 50_000)).isFalse();
     }
 
     @Test
     void aNewHolderWaitsUntilOrdersOfTheOneBeforeAreLongPast() {
         lease.observe("me", 2, at(11), 0);
         lease.acquired(true, 0);
-        lease.renewed(SECOND, 1_000);
-        assertThat(lease.mayOrder(SECOND, 1_000)).isFalse();
-        lease.renewed(6 * SECOND, 6_000);
-        assertThat(lease.mayOrder(6 * SECOND, 6_000)).isTrue();
+        lease.renewed(SECOND_NANOS, 1_000);
+        assertThat(lease.mayOrder(SECOND_NANOS, 1_000)).isFalse();
+        lease.renewed(6 * SECOND_NANOS, 6_000);
+        assertThat(lease.mayOrder(6 * SECOND_NANOS, 6_000)).isTrue();
     }
 
     @Test
     void aLeaseIsTakenOverOnlyWhenItsRevisionStandsStillForLong() {
         lease.observe("other", 1, at(10), 0);
-        assertThat(lease.hasLapsed(11 * SECOND)).isFalse();
-        lease.observe("other", 1, at(11), 11 * SECOND);
-        assertThat(lease.hasLapsed(22 * SECOND)).isFalse();
-        lease.observe("other", 1, at(11), 22 * SECOND);
-        assertThat(lease.hasLapsed(24 * SECOND))
+        assertThat(lease.hasLapsed(11 * SECOND_NANOS)).isFalse();
+        lease.observe("other", 1, at(11), 11 * SECOND_NANOS);
+        assertThat(lease.hasLapsed(22 * SECOND_NANOS)).isFalse();
+        lease.observe("other", 1, at(11), 22 * SECOND_NANOS);
+        assertThat(lease.hasLapsed(24 * SECOND_NANOS))
                 .as("the same revision again is no renewal")
                 .isTrue();
     }
--- a/core/src/test/java/org/quetzalseam/core/generation/PrefillPlannerTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillPlannerTest.java
@@ -11,9 +11,10 @@
 
 class PrefillPlannerTest {
     private static final int TOKENS = 5_000;
-    private static final double OBJECTIVE = 900;
-    private static final PrefillPlanner.Deadline IN_TIME = new PrefillPlanner.Deadline(OBJECTIVE, 14_000, OBJECTIVE);
-    private static final PrefillPlanner.Deadline LATE = new PrefillPlanner.Deadline(-100, 10_000, OBJECTIVE);
+    private static final double OBJECTIVE_MILLIS = 900;
+    private static final PrefillPlanner.Deadline IN_TIME =
+            new PrefillPlanner.Deadline(OBJECTIVE_MILLIS, 14_000, OBJECTIVE_MILLIS);
+    private static final PrefillPlanner.Deadline LATE = new PrefillPlanner.Deadline(-100, 10_000, OBJECTIVE_MILLIS);
     private static final List<String> ENGINES = List.of("a", "b");
 
     private final PrefillPlanner<String> planner = new PrefillPlanner<>();
@@ -24,14 +25,14 @@
     }
 
     private PrefillPlanner<String>.Prefill begin(String engine) {
-        return planner.begin(engine, TOKENS, now, OBJECTIVE);
+        return planner.begin(engine, TOKENS, now, OBJECTIVE_MILLIS);
     }
 
     private void prefill(String engine, long millis, int times) {
         for (int i = 0; i < times; i++) {
             PrefillPlanner<String>.Prefill prefill = begin(engine);
             pass(millis);
-            prefill.completed(now, (double) millis, OBJECTIVE);
+            prefill.completed(now, (double) millis, OBJECTIVE_MILLIS);
         }
     }
 
@@ -93,8 +94,8 @@
     }
 
     /**
-     * Shows the failure that the planner prevents: under overload, engines spend most of their time on prompts that
-     * were cancelled.
+     * Shows the failure that the planner prevents: with a fixed timeout, most of what the engines prefill under overload
+     * is wasted.
      */
     @Test
     void aFixedTimeoutWastesMostOfTheEnginesWork() {
@@ -139,7 +140,7 @@
         }
         assertThat(begins("a", IN_TIME)).isFalse();
         assertThat(begins("a", LATE)).isFalse();
-        assertThat(planner.retryAfterMillis("a", OBJECTIVE, now)).isBetween(500.0, 1_200.0);
+        assertThat(planner.retryAfterMillis("a", OBJECTIVE_MILLIS, now)).isBetween(500.0, 1_200.0);
     }
 
     @Test
@@ -156,7 +157,7 @@
         prefill("a", 2_000, 100);
         pass(20_000);
         assertThat(begins("a", IN_TIME)).isTrue();
-        assertThat(begins("a", new PrefillPlanner.Deadline(OBJECTIVE, 1_500, OBJECTIVE)))
+        assertThat(begins("a", new PrefillPlanner.Deadline(OBJECTIVE_MILLIS, 1_500, OBJECTIVE_MILLIS)))
                 .as("its caller stops waiting before")
                 .isFalse();
     }
--- a/core/src/test/java/org/quetzalseam/core/generation/PrefillQueueTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillQueueTest.java
@@ -12,8 +12,8 @@
  * prefilled in the lull after it if they wait. Callers of a stream wait four objectives of 900 ms without an event.
  */
 class PrefillQueueTest {
-    private static final double OBJECTIVE = 900;
-    private static final double CALLER_TIMEOUT = 3_600;
+    private static final double OBJECTIVE_MILLIS = 900;
+    private static final double CALLER_TIMEOUT_MILLIS = 3_600;
 
     private final PrefillQueue<String> queue = new PrefillQueue<>();
     private long now = 5;
@@ -23,7 +23,8 @@
     }
 
     private static PrefillPlanner.Deadline deadline(double ageMillis) {
-        return new PrefillPlanner.Deadline(OBJECTIVE - ageMillis, CALLER_TIMEOUT - ageMillis, OBJECTIVE);
+        return new PrefillPlanner.Deadline(
+                OBJECTIVE_MILLIS - ageMillis, CALLER_TIMEOUT_MILLIS - ageMillis, OBJECTIVE_MILLIS);
     }
 
     private PrefillQueue<String>.Position add(String prompt, double ageMillis) {
--- a/core/src/test/java/org/quetzalseam/core/limits/LimitsTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/LimitsTest.java
@@ -9,7 +9,7 @@
 import org.quetzalseam.core.limits.EntryLimiter.Verdict;
 
 class LimitsTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     private static EntrySpec entry(int rate, int concurrency) {
         String text =
@@ -31,8 +31,8 @@
             entered += limiter.enter(entry, 2, 0) == Verdict.ENTERED ? 1 : 0;
         }
         assertThat(entered).isEqualTo(5);
-        assertThat(limiter.retryAfterNanos("e", 0)).isEqualTo(SECOND / 5);
-        assertThat(limiter.enter(entry, 2, SECOND)).isEqualTo(Verdict.ENTERED);
+        assertThat(limiter.retryAfterNanos("e", 0)).isEqualTo(SECOND_NANOS / 5);
+        assertThat(limiter.enter(entry, 2, SECOND_NANOS)).isEqualTo(Verdict.ENTERED);
     }
 
     @Test
--- a/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceRestartTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceRestartTest.java
@@ -11,8 +11,8 @@
 
 /** Tests entries that share a retry budget, are killed, and restart without knowing what they have spent. */
 class RetryAllowanceRestartTest {
-    private static final long MILLI = 1_000_000;
-    private static final long WINDOW = 10_000 * MILLI;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long WINDOW_NANOS = 10_000 * NANOS_PER_MILLI;
     private static final double RATIO = 0.2;
     private static final double SLACK = 56;
     private static final int ENTRIES = 5;
@@ -24,7 +24,7 @@
         private RetryAllowance allowance = newAllowance(0);
 
         private static RetryAllowance newAllowance(long startedAt) {
-            RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, startedAt);
+            RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW_NANOS, startedAt);
             allowance.updateEntryCount(ENTRIES);
             return allowance;
         }
@@ -50,23 +50,23 @@
     }
 
     /**
-     * Compares the retries in each window with the requests in the same window, in the previous one, or half a window
-     * earlier.
+     * Compares the retries in each window with the largest number of requests in the same window, in the previous one,
+     * and half a window earlier.
      */
     private void assertWithinTheBudget() {
         for (long start : retries) {
             long counted = Math.max(
                     within(requests, start),
-                    Math.max(within(requests, start - WINDOW), within(requests, start - WINDOW / 2)));
+                    Math.max(within(requests, start - WINDOW_NANOS), within(requests, start - WINDOW_NANOS / 2)));
             assertThat(within(retries, start))
-                    .as("retries from %d ms on, for %d requests", start / MILLI, counted)
+                    .as("retries from %d ms on, for %d requests", start / NANOS_PER_MILLI, counted)
                     .isLessThanOrEqualTo((long) (RATIO * counted + SLACK));
         }
     }
 
     private static long within(List<Long> times, long start) {
         return times.stream()
-                .filter(time -> time >= start && time < start + WINDOW)
+                .filter(time -> time >= start && time < start + WINDOW_NANOS)
                 .count();
     }
 
@@ -78,7 +78,7 @@
             entries.add(new Entry());
         }
         for (long millis = FIRST_REQUEST_MILLIS; millis <= FIRST_REQUEST_MILLIS + 6_000; millis += 3_000) {
-            long now = millis * MILLI;
+            long now = millis * NANOS_PER_MILLI;
             for (Entry entry : entries) {
                 if (millis > FIRST_REQUEST_MILLIS) {
                     entry.restart(now);
@@ -86,7 +86,7 @@
                 for (int i = 0; i < 6; i++) {
                     request(entry, now);
                 }
-                retryAll(entry, now + MILLI);
+                retryAll(entry, now + NANOS_PER_MILLI);
             }
         }
         assertWithinTheBudget();
@@ -105,7 +105,7 @@
             entries.add(new Entry());
         }
         for (long millis = FIRST_REQUEST_MILLIS; millis < FIRST_REQUEST_MILLIS + 40_000; millis += 50) {
-            long now = millis * MILLI;
+            long now = millis * NANOS_PER_MILLI;
             for (Entry entry : entries) {
                 if (random.nextDouble() < killsPerStep) {
                     entry.restart(now);
@@ -125,6 +125,6 @@
     @Test
     void aRestartedEntryHasAPartOfTheSlackBeforeAWindowIsOver() {
         RetryAllowance allowance = Entry.newAllowance(0);
-        assertThat(allowance.tryRetry(WINDOW / 2)).isTrue();
+        assertThat(allowance.tryRetry(WINDOW_NANOS / 2)).isTrue();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 class RetryAllowanceTest {
-    private static final long WINDOW = 10_000_000_000L;
+    private static final long WINDOW_NANOS = 10_000_000_000L;
     private static final double RATIO = 0.2;
     private static final double SLACK = 56;
-    private static final long LONG_AGO = -10 * WINDOW;
+    private static final long LONG_AGO = -10 * WINDOW_NANOS;
 
     private static int spent(RetryAllowance allowance, long now) {
         int spent = 0;
@@ -27,7 +27,7 @@
         int all = 0;
         int retries = 0;
         for (int share : requests) {
-            RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
+            RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW_NANOS, LONG_AGO);
             allowance.updateEntryCount(requests.length);
             entries.add(allowance);
             for (int i = 0; i < share; i++) {
@@ -44,12 +44,13 @@
 
     @Test
     void anEntryThatDoesNotKnowTheEntryCountUsesASmallPartOfTheSlack() {
-        assertThat(spent(new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO), 1)).isLessThanOrEqualTo(2);
+        assertThat(spent(new RetryAllowance(RATIO, SLACK, WINDOW_NANOS, LONG_AGO), 1))
+                .isLessThanOrEqualTo(2);
     }
 
     @Test
     void aCrashAtTheStartOfTrafficLeavesRetriesForRequestsThatCanGoOn() {
-        RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
+        RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW_NANOS, LONG_AGO);
         allowance.updateEntryCount(5);
         for (int i = 0; i < 5; i++) {
             allowance.recordRequest(1);
@@ -59,11 +60,11 @@
 
     @Test
     void spentRetriesAreAvailableAgainAfterTheWindow() {
-        RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
+        RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW_NANOS, LONG_AGO);
         allowance.updateEntryCount(5);
         int first = spent(allowance, 1);
-        assertThat(spent(allowance, WINDOW)).isZero();
-        assertThat(spent(allowance, WINDOW + 2)).isEqualTo(first);
+        assertThat(spent(allowance, WINDOW_NANOS)).isZero();
+        assertThat(spent(allowance, WINDOW_NANOS + 2)).isEqualTo(first);
     }
 
     @Test
