--- a/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
@@ -10,7 +10,7 @@
  * <p>The record's position rises with each renewal. A process takes a lease over when that position has not changed for
  * much longer than the renewal interval, by its own monotonic clock; the takeover is conditional on that position, so
  * that only one process wins. A holder sends an order only right after a renewal, and a new holder only once any order
- * of the previous holder has long been processed.
+ * of the previous holder must have been sent long ago.
  */
 public final class OrderLease {
     /** Number of renewals that may be missed before the lease is taken over. */
