--- a/core/src/test/java/org/quetzalseam/core/generation/PrefillQueueTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillQueueTest.java
@@ -7,12 +7,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A burst of twice the mean for four seconds, at engines that read 1.3 times the mean: some forty prompts can't be in time, and are
- * read in the lull after it if they wait. Callers of a stream stay four objectives of 900 ms without an event.
+ * Guards against prompts that are refused although they could be answered late. A burst of twice the mean load for four
+ * seconds, at engines that can prefill 1.3 times the mean, leaves some forty prompts that cannot be in time, but are
+ * prefilled in the lull after it if they wait. Callers of a stream wait four objectives of 900 ms without an event.
  */
 class PrefillQueueTest {
-    private static final double OBJECTIVE = 900;
-    private static final double CALLER_TIMEOUT = 3_600;
+    private static final double OBJECTIVE_MILLIS = 900;
+    private static final double CALLER_TIMEOUT_MILLIS = 3_600;
 
     private final PrefillQueue<String> queue = new PrefillQueue<>();
     private long now = 5;
@@ -22,7 +23,8 @@
     }
 
     private static PrefillPlanner.Deadline deadline(double ageMillis) {
-        return new PrefillPlanner.Deadline(OBJECTIVE - ageMillis, CALLER_TIMEOUT - ageMillis, OBJECTIVE);
+        return new PrefillPlanner.Deadline(
+                OBJECTIVE_MILLIS - ageMillis, CALLER_TIMEOUT_MILLIS - ageMillis, OBJECTIVE_MILLIS);
     }
 
     private PrefillQueue<String>.Position add(String prompt, double ageMillis) {
@@ -67,20 +69,20 @@
 
     @Test
     void aPromptExpiresWhileItsCallerStillWaitsLongEnoughForTheFirstEvent() {
-        PrefillQueue<String>.Position place = add("fresh", 0);
+        PrefillQueue<String>.Position position = add("fresh", 0);
         pass(2_300);
-        assertThat(place.hasExpired(now)).isFalse();
+        assertThat(position.hasExpired(now)).isFalse();
         pass(100);
-        assertThat(place.hasExpired(now)).isTrue();
-        assertThat(place.waitedMillis(now)).isEqualTo(2_400);
+        assertThat(position.hasExpired(now)).isTrue();
+        assertThat(position.waitedMillis(now)).isEqualTo(2_400);
     }
 
     @Test
     void aRemovedPromptNoLongerCounts() {
-        PrefillQueue<String>.Position place = add("gone", 0);
+        PrefillQueue<String>.Position position = add("gone", 0);
         add("other", 0);
-        queue.remove(place);
-        queue.remove(place);
+        queue.remove(position);
+        queue.remove(position);
         assertThat(order()).containsExactly("other");
         assertThat(queue.size()).isEqualTo(1);
         assertThat(queue.isEmpty()).isFalse();
