--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/LeaseRecord.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/LeaseRecord.java
@@ -6,20 +6,20 @@
 import org.quetzalseam.gateway.store.ObjectFields;
 
 /**
- * The lease's record in the store. Immutable.
+ * The record of a lease in the store. Immutable.
  *
- * @param holder the process that holds it
- * @param epoch the number of this holding, which orders carry
- * @param renewals how often it has been renewed; makes each renewal a change
+ * @param holder the name of the entry that holds the lease
+ * @param epoch the number of this term of the lease, which rises with each take-over and which the holder's orders carry
+ * @param renewals the number of renewals, so that each renewal changes the record
  */
 record LeaseRecord(String holder, long epoch, long renewals) {
-    /** Largest number in a record: each of its writers can still count on from there, as can readers that know doubles only. */
+    /** Largest number in a record: its writers can still increment it, and readers that support only doubles represent it exactly. */
     private static final long MAX_COUNT = (1L << 53) - 1;
 
     /**
-     * Reads a record.
+     * Parses a record.
      *
-     * @throws org.quetzalseam.gateway.store.UnreadableException if it isn't one that an entry has written
+     * @throws org.quetzalseam.gateway.store.UnreadableException if no entry can have written it
      */
     static LeaseRecord of(JsonNode spec) {
         ObjectFields fields = new ObjectFields("lease", spec);
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageController.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageController.java
@@ -22,26 +22,27 @@
 import org.quetzalseam.gateway.store.ObjectStore;
 
 /**
- * Keeps one service's engines divided between stages, while this entry holds the lease. Used on the event loop only.
+ * Divides one service's engines between the prefill and decode stages while this entry holds the lease. Used on the event loop
+ * only.
  *
- * <p>If nobody can hold the lease, engines stay as they are and everything else goes on.
+ * <p>If no entry can hold the lease, engines stay in their stages and everything else continues.
  */
 final class StageController {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** How often the holder asks engines for their load, in milliseconds: their reports are about that old themselves. */
+    /** How often the holder requests the engines' load, in milliseconds: the reports themselves are about that old. */
     private static final long SAMPLE_INTERVAL_MILLIS = 1_000;
     /**
-     * How long after an order no other is given, in milliseconds: longer than an order may be carried out late, and than an
-     * engine takes to change.
+     * How long no further order is sent after an order, in milliseconds: longer than the greatest delay until an order is executed,
+     * and longer than an engine takes to change its stage.
      */
     private static final long ORDER_COOLDOWN_MILLIS = 14_000;
 
-    /** How long an engine may take to answer, in milliseconds: less than the time between two samples. */
+    /** Time limit of an engine's answer, in milliseconds: less than the time between two samples. */
     private static final long ANSWER_TIMEOUT_MILLIS = 700;
 
     private static final int MAX_REPLY_BYTES = 64 * 1024;
     private static final int STATUS_ACCEPTED = 202;
-    /** The engine is in the stage already, or on its way there. */
+    /** Status of an engine that is in the stage already or is changing to it. */
     private static final int STATUS_ALREADY_IN_STAGE = 200;
 
     private final Timers timers;
@@ -54,7 +55,7 @@
     private final Map<Endpoint, EngineLoad> loads = new HashMap<>();
     private final Map<Endpoint, EndpointCall> reports = new HashMap<>();
     private long cooldownEndNanos;
-    /** Orders of the last round that an engine may carry out. */
+    /** Orders of the last round that their engines have not rejected, and so may execute. */
     private int ordersNotRejected;
 
     private int outstandingReports;
@@ -110,17 +111,20 @@
         }
     }
 
-    /** A report counts only for the life that it is of. A newer life's ends the earlier one, however low its counts. */
+    /**
+     * Records a report, which counts only for the incarnation that gave it. A report of a newer incarnation ends the previous one,
+     * however low its counts are.
+     */
     private void onReport(Endpoint engine, EngineLoad load) {
-        long known = engine.member().startMillis();
-        if (load.startMillis() == known) {
+        long knownStartMillis = engine.member().startMillis();
+        if (load.startMillis() == knownStartMillis) {
             loads.put(engine, load);
-        } else if (load.startMillis() > known) {
+        } else if (load.startMillis() > knownStartMillis) {
             directory.startedAgain(engine, load.startMillis());
         } else {
             logger.atInfo().log(
                     "event=load-outlived service=%s endpoint=%s start_ms=%d known_ms=%d",
-                    service, engine.member().id(), load.startMillis(), known);
+                    service, engine.member().id(), load.startMillis(), knownStartMillis);
         }
     }
 
@@ -155,18 +159,21 @@
         if (timers.now() - cooldownEndNanos >= 0) {
             List<StageSplit.Change> changes = split.decide(samples);
             if (!changes.isEmpty()) {
-                // The orders leave in the same turn in which the store confirms the lease, or not at all.
-                lease.renew(() -> sendOrder(changes));
+                // The orders are sent in the event loop call in which the store confirms the lease, or not at all.
+                lease.renew(() -> sendOrders(changes));
             }
         }
     }
 
-    /** An engine that has started again is another one: what was decided for its earlier life isn't for it. */
+    /**
+     * Returns the name under which an engine is sampled: that of its incarnation, because a decision made for an engine does not
+     * apply to it after a restart.
+     */
     private static String sampleName(Endpoint engine) {
         return engine.member().incarnation().toString();
     }
 
-    private void sendOrder(List<StageSplit.Change> changes) {
+    private void sendOrders(List<StageSplit.Change> changes) {
         if (!lease.mayOrder()) {
             return;
         }
@@ -181,11 +188,12 @@
     }
 
     /**
-     * Sends an order to the life of the engine whose report it rests on, and to no other. Its id and the count of orders that
-     * it names don't prove which life takes it: a life that has accepted as many, none above all, would do as well. So it
-     * leaves over the connection that brought the report. Where the platform itself holds an order up past a restart, a count
-     * above zero still proves it, as nobody orders again within {@link #ORDER_COOLDOWN_MILLIS}; a count of zero doesn't, and the
-     * engine may then change stage once without need.
+     * Sends an order only to the incarnation of the engine whose report it is based on. The engine's id and the count of orders
+     * that the order states do not prove which incarnation accepts it: any incarnation that has accepted as many orders matches,
+     * most easily one that has accepted none. The order is therefore sent over the connection that delivered the report. Where the
+     * platform itself delays an order past a restart, a count above zero still identifies the incarnation, because nobody sends
+     * another order within {@link #ORDER_COOLDOWN_MILLIS}; a count of zero does not, and the engine may then change its stage once
+     * unnecessarily.
      *
      * @return whether it was sent
      */
@@ -225,7 +233,7 @@
         return sent;
     }
 
-    /** An order that its engine has turned away is never carried out: if that is true of all of them, nothing needs to rest. */
+    /** Ends the cooldown once all orders of the round are rejected, because a rejected order is never executed. */
     private void onOrderAnswered(StageSplit.Change change, int status) {
         if (status != STATUS_ACCEPTED && status != STATUS_ALREADY_IN_STAGE) {
             ordersNotRejected--;
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageControllers.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageControllers.java
@@ -8,9 +8,9 @@
 import org.quetzalseam.gateway.runtime.Timers;
 import org.quetzalseam.gateway.store.ObjectStore;
 
-/** A keeper for each service whose engines have stages. Used on the event loop only. */
+/** Runs a controller for each service whose engines have stages. Used on the event loop only. */
 public final class StageControllers {
-    /** How often services are looked for, in milliseconds. */
+    /** How often the directory is checked for new services, in milliseconds. */
     private static final long DISCOVERY_INTERVAL_MILLIS = 500;
 
     private final Timers timers;
@@ -20,7 +20,7 @@
     private final EntrySettings settings;
     private final Map<String, StageController> controllers = new HashMap<>();
 
-    /** Creates keepers; {@link #start} begins to look for services. */
+    /** Creates a set without controllers; {@link #start} begins to discover services. */
     public StageControllers(
             Timers timers, Directory directory, Protocol protocol, ObjectStore store, EntrySettings settings) {
         this.timers = timers;
@@ -30,7 +30,7 @@
         this.settings = settings;
     }
 
-    /** Begins to look for services with stages. */
+    /** Begins to discover services whose engines have stages, and to start their controllers. */
     public void start() {
         timers.every(DISCOVERY_INTERVAL_MILLIS, this::discoverServices);
     }
@@ -42,8 +42,8 @@
     }
 
     private StageController startController(String service) {
-        StageController keeper = new StageController(timers, directory, protocol, store, service, settings);
-        keeper.start();
-        return keeper;
+        StageController controller = new StageController(timers, directory, protocol, store, service, settings);
+        controller.start();
+        return controller;
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
@@ -12,24 +12,25 @@
 import org.quetzalseam.gateway.store.UnreadableException;
 
 /**
- * The lease, in the platform's store, on ordering one service's engines between stages. Used on the event loop only.
+ * The lease, in the platform's store, that permits an entry to order one service's engines between stages. Used on the event loop
+ * only.
  *
- * <p>Where the store has come back from an older copy, the record that it holds is nobody's, whomever it names: a later holder may
- * have been forgotten with what was written since. Whoever held the lease has lost it, and it is taken over like that of a holder
- * that has gone silent.
+ * <p>Where the store was restored from an older copy, its record counts as nobody's, whatever holder it names: the record of a later
+ * holder may have been lost with all that was written since the copy. The holder loses the lease, and it is taken over like the
+ * lease of a holder that has stopped renewing.
  */
 final class StageLease {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** Kind of the lease's record in the store. */
+    /** The kind of the lease's record in the store. */
     private static final String KIND = "quetzalseam-leases";
-    /** How often a holder renews and others look, in milliseconds: a take-over within some seconds at few calls. */
+    /** How often the holder renews and others check the lease, in milliseconds: a take-over within some seconds with few calls. */
     static final long RENEW_INTERVAL_MILLIS = 4_000;
     /**
-     * How long a new holder waits before its first order, in milliseconds: longer than the longest lease that engines are
-     * known to assume, and than an order may be on its way.
+     * How long a new holder waits before its first order, in milliseconds: longer than the longest lease that engines are known to
+     * assume, and longer than an order may be in flight.
      */
     private static final long FIRST_ORDER_DELAY_MILLIS = 5_000;
-    /** Stands for a record that can't be read. */
+    /** Stands for a record that cannot be read. */
     private static final LeaseRecord NO_HOLDER_RECORD = new LeaseRecord("", 0, 0);
 
     private static final String NO_HOLDER_NAME = "nobody";
@@ -47,23 +48,23 @@
     private boolean recordEverSeen;
     private boolean callInFlight;
 
-    /** Creates a lease at a site that starts for the first time. */
-    StageLease(Timers timers, ObjectStore store, String service, String self) {
-        this(timers, store, service, self, true);
+    /** Creates the lease of a site that starts for the first time. */
+    StageLease(Timers timers, ObjectStore store, String service, String entryName) {
+        this(timers, store, service, entryName, true);
     }
 
     /**
-     * Creates a lease.
+     * Creates the lease as this entry sees it.
      *
-     * @param firstStart whether the whole site starts for the first time, so that a missing record never was another's
+     * @param firstStart whether the whole site starts for the first time, so that a missing record has had no previous holder
      */
-    StageLease(Timers timers, ObjectStore store, String service, String self, boolean firstStart) {
+    StageLease(Timers timers, ObjectStore store, String service, String entryName, boolean firstStart) {
         this.timers = timers;
         this.store = store;
         this.service = service;
-        this.entryName = self;
+        this.entryName = entryName;
         this.firstStart = firstStart;
-        this.lease = new OrderLease(self, RENEW_INTERVAL_MILLIS, FIRST_ORDER_DELAY_MILLIS);
+        this.lease = new OrderLease(entryName, RENEW_INTERVAL_MILLIS, FIRST_ORDER_DELAY_MILLIS);
     }
 
     boolean held() {
@@ -78,7 +79,7 @@
         return lease.mayOrder(timers.now(), timers.wallMillis());
     }
 
-    /** Renews, looks at or takes over the lease, whichever is due. */
+    /** Reads, renews, checks or takes over the lease, as its state requires. */
     void maintain() {
         if (callInFlight) {
             return;
@@ -94,13 +95,16 @@
         }
     }
 
-    /** Looks whether another holder renews. An old answer at worst puts a take-over off; taking over is conditional. */
+    /**
+     * Checks whether another holder renews the lease. A stale answer at worst delays a take-over, because the take-over itself is a
+     * conditional write.
+     */
     private void checkHolder() {
         callInFlight = true;
         store.readRecent(KIND, service, this::onRecord, this::checkFailed);
     }
 
-    /** An old answer may lack the record that is there by now. */
+    /** Handles a failed check; a stale answer may lack a record that exists by now, so the store is read again. */
     private void checkFailed(StoreFailure failure) {
         if (failure.kind() == StoreFailure.Kind.NOT_FOUND) {
             forget();
@@ -127,7 +131,7 @@
 
     private void create() {
         StorePosition known = StorePosition.later(store.position(), newestPosition);
-        if (eraTooHighForEpochs(known)) {
+        if (cannotExpressEra(known)) {
             return;
         }
         callInFlight = true;
@@ -136,19 +140,23 @@
                 KIND, service, first.toJson(), object -> onCreated(object, known, first.epoch()), this::createFailed);
     }
 
-    /** A record that has been gone may have stood under any epoch up to its creation: one below that is not held but replaced. */
-    private void onCreated(StoredObject object, StorePosition before, long epoch) {
-        boolean after = recordEverSeen || !firstStart || object.position().era() != before.era();
+    /**
+     * Handles the creation of a record. A previous record that was deleted may have had any epoch up to the position of the
+     * creation: a record with a lower epoch is not held but replaced.
+     */
+    private void onCreated(StoredObject object, StorePosition positionBefore, long epoch) {
+        boolean mayFollowHolder =
+                recordEverSeen || !firstStart || object.position().era() != positionBefore.era();
         if (epoch >= OrderEpoch.highestAt(object.position())) {
-            onAcquired(object, after, NO_HOLDER_NAME);
+            onAcquired(object, mayFollowHolder, NO_HOLDER_NAME);
         } else {
             onRecord(object);
-            takeOver(after);
+            takeOver(mayFollowHolder);
         }
     }
 
-    /** Returns whether epochs can't tell the era of the store's answers from others: nobody may order by them then. */
-    private boolean eraTooHighForEpochs(StorePosition position) {
+    /** Returns whether epochs cannot express the era of the store's answers; nobody may order under such epochs. */
+    private boolean cannotExpressEra(StorePosition position) {
         boolean inexpressible = !OrderEpoch.expressible(position.era());
         if (inexpressible) {
             logger.atWarning().log("event=lease-impossible service=%s era=%d", service, position.era());
@@ -156,20 +164,20 @@
         return inexpressible;
     }
 
-    /** Another entry may have been first; what stands in the store shows at the next turn. */
+    /** Handles a failed creation. Another entry may have been first; the next call of {@link #maintain} reads the record. */
     private void createFailed(StoreFailure failure) {
         callInFlight = false;
         logger.atInfo().log("event=lease-not-created service=%s kind=%s", service, failure.kind());
     }
 
-    /** Renews the lease, and calls once the store has confirmed it. */
+    /** Renews the lease, and calls back once the store has confirmed the renewal. */
     void renew(Runnable confirmed) {
         if (callInFlight) {
             return;
         }
         callInFlight = true;
-        long steady = timers.now();
-        long wall = timers.wallMillis();
+        long steadyNanos = timers.now();
+        long wallMillis = timers.wallMillis();
         store.replace(
                 KIND,
                 service,
@@ -177,28 +185,28 @@
                 record.renewed().toJson(),
                 object -> {
                     onRecord(object);
-                    lease.renewed(steady, wall);
+                    lease.renewed(steadyNanos, wallMillis);
                     confirmed.run();
                 },
                 this::writeFailed);
     }
 
-    /** Takes the lease over; {@code after} tells whether another holder's orders may still be on their way. */
-    private void takeOver(boolean after) {
-        if (eraTooHighForEpochs(lease.position())) {
+    /** Takes the lease over; {@code mayFollowHolder} states whether another holder's orders may still be in flight. */
+    private void takeOver(boolean mayFollowHolder) {
+        if (cannotExpressEra(lease.position())) {
             return;
         }
         callInFlight = true;
-        String before = holder();
-        // Above all that were ever given, also above those that this process hasn't seen and the record doesn't tell
-        // any more.
+        String previousHolder = holder();
+        // Above every epoch ever assigned, including those that this process has not seen and that the record no longer
+        // shows.
         LeaseRecord mine = new LeaseRecord(entryName, OrderEpoch.after(lease.position()), 0);
         store.replace(
                 KIND,
                 service,
                 lease.position(),
                 mine.toJson(),
-                object -> onAcquired(object, after, before),
+                object -> onAcquired(object, mayFollowHolder, previousHolder),
                 this::writeFailed);
     }
 
@@ -206,29 +214,30 @@
         return record.holder().isEmpty() ? NO_HOLDER_NAME : record.holder();
     }
 
-    /** Notes a record that this process has written in place of nobody's or another one's. */
-    private void onAcquired(StoredObject object, boolean after, String before) {
+    /** Handles a record that this process has written in place of another holder's or where nobody held the lease. */
+    private void onAcquired(StoredObject object, boolean mayFollowHolder, String previousHolder) {
         onRecord(object);
         if (lease.held()) {
-            lease.taken(after, timers.now());
-            logger.atInfo().log("event=lease-taken service=%s epoch=%d before=%s", service, lease.epoch(), before);
+            lease.taken(mayFollowHolder, timers.now());
+            logger.atInfo().log(
+                    "event=lease-taken service=%s epoch=%d before=%s", service, lease.epoch(), previousHolder);
         }
     }
 
     private void onRecord(StoredObject object) {
         callInFlight = false;
         if (object.position().before(lease.position())) {
-            // An old answer: what is known already is newer.
+            // A stale answer: the known record is newer.
             return;
         }
         boolean heldBefore = lease.held();
         recordEverSeen = true;
         newestPosition = StorePosition.later(newestPosition, object.position());
-        record = read(object);
+        record = parse(object);
         highestEpoch = Math.max(highestEpoch, record.epoch());
         lease.seen(record.holder(), record.epoch(), object.position(), timers.now());
         if (!heldBefore && lease.held()) {
-            // Nothing tells yet that no order of a holder before is on its way.
+            // An order of a previous holder may still be in flight.
             lease.taken(true, timers.now());
         }
         if (heldBefore && !lease.held()) {
@@ -237,12 +246,13 @@
     }
 
     /**
-     * Reads the record. One that can't be read is another writer's, as is one whose epoch is below one that was seen, or above
-     * what entries can have reached by its revision. It is nobody's: whoever held the lease has lost it, and it is taken over
-     * like that of a holder that has gone silent. To leave it for good would keep the engines as they are until an operator
-     * sees it; to replace it at once would race with an order that the last holder gave before it could notice.
+     * Parses the record. A record that cannot be read was left by another writer, as was one whose epoch is below one seen
+     * before or above what entries can have reached by its revision. It counts as nobody's: the holder loses the lease, and it is
+     * taken over like the lease of a holder that has stopped renewing. Leaving the record as it is would keep the engines in their
+     * stages until an operator notices; replacing it at once would race with an order that the last holder gave before it could
+     * notice.
      */
-    private LeaseRecord read(StoredObject object) {
+    private LeaseRecord parse(StoredObject object) {
         try {
             LeaseRecord found = LeaseRecord.of(object.spec());
             if (OrderEpoch.era(found.epoch()) < object.position().era()) {
@@ -271,8 +281,8 @@
     }
 
     /**
-     * The write may have had its effect all the same: what stands in the store is read before anything else. Where it had none for
-     * sure, what was known of the record is wrong, and its position may never be reached again.
+     * Handles a failed write. The write may have taken effect nevertheless, so the record is read before anything else. Where it
+     * certainly had no effect, the known record is wrong, and its position may never be reached again, so it is forgotten.
      */
     private void writeFailed(StoreFailure failure) {
         logger.atInfo().log(
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/package-info.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/package-info.java
@@ -1,4 +1,4 @@
-/** Which engines read prompts and which decode: one entry at a time orders it, under a lease in the store. */
+/** Assignment of engines to the prefill or decode stage, ordered by one entry at a time under a lease in the store. */
 @NullMarked
 package org.quetzalseam.gateway.stage;
 
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/ForeignLeaseRecordTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/ForeignLeaseRecordTest.java
@@ -15,7 +15,7 @@
 import org.quetzalseam.gateway.store.MemoryStore;
 import org.quetzalseam.gateway.store.StoredObject;
 
-/** The record of the lease as another writer has left it. */
+/** Tests lease records that another writer has left in the store. */
 class ForeignLeaseRecordTest {
     private static final String KIND = "quetzalseam-leases";
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -81,7 +81,7 @@
         }
         assertThat(lease.held()).isTrue();
         assertThat(lease.epoch())
-                .as("above the epochs of before, which it never saw")
+                .as("above the earlier epochs, which it never saw")
                 .isGreaterThan(5);
         assertThat(storedEpoch()).isEqualTo(lease.epoch());
     }
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/LeaseOverRestoresTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/LeaseOverRestoresTest.java
@@ -24,31 +24,31 @@
 import org.quetzalseam.gateway.store.StoredObject;
 
 /**
- * Entries that take the lease over, start anew, and have their calls and answers held up, before a store that comes back from older
- * copies at random. Orders take up to three seconds; each is judged when it is carried out.
+ * Simulates entries that take the lease over, restart, and have their calls and answers delayed, with a store that is restored from
+ * older copies at random times. Orders take up to three seconds; each is checked when it is executed.
  */
 class LeaseOverRestoresTest {
     private static final int SITES = 300;
     private static final int STEPS = 2_000;
-    private static final int STEP_MILLIS = 500;
-    private static final int LONGEST_ORDER_MILLIS = 3_000;
-    private static final int LONGEST_ANSWER_MILLIS = 700;
+    private static final int MAX_STEP_MILLIS = 500;
+    private static final int MAX_ORDER_DELAY_MILLIS = 3_000;
+    private static final int MAX_ANSWER_DELAY_MILLIS = 700;
 
     @Test
     void epochsIncreaseAndEachBelongsToOneHolder() {
-        int carriedOut = 0;
-        int takenOver = 0;
+        int executedOrders = 0;
+        int terms = 0;
         for (int seed = 0; seed < SITES; seed++) {
             RandomSite site = new RandomSite(seed);
             for (int i = 0; i < STEPS; i++) {
                 site.step();
             }
             assertThat(site.findings).as("seed %d", seed).isEmpty();
-            carriedOut += site.executedOrders;
-            takenOver += site.holderOfEpoch.size();
+            executedOrders += site.executedOrders;
+            terms += site.holderOfEpoch.size();
         }
-        assertThat(carriedOut).as("orders judged").isGreaterThan(10 * SITES);
-        assertThat(takenOver).as("holdings judged").isGreaterThan(2 * SITES);
+        assertThat(executedOrders).as("orders checked").isGreaterThan(10 * SITES);
+        assertThat(terms).as("terms checked").isGreaterThan(2 * SITES);
     }
 
     private record ScheduledCall(long atMillis, Runnable call) {}
@@ -80,7 +80,7 @@
         }
 
         private void step() {
-            millis += random.nextInt(STEP_MILLIS);
+            millis += random.nextInt(MAX_STEP_MILLIS);
             runDueCalls();
             for (int i = 0; i < leases.size(); i++) {
                 maintain(i);
@@ -89,38 +89,38 @@
                 copies.add(store.copy());
             }
             if (random.nextInt(250) == 0 && !copies.isEmpty()) {
-                // A copy may be come back from twice.
+                // The store may be restored from the same copy twice.
                 store.restore(copies.get(copies.size() - 1 - random.nextInt(Math.min(2, copies.size()))));
             }
             if (random.nextInt(250) == 0) {
-                int which = random.nextInt(leases.size());
-                leases.set(which, lease("e" + which));
+                int index = random.nextInt(leases.size());
+                leases.set(index, lease("e" + index));
             }
             if (random.nextInt(3) == 0) {
                 store.put("others", "other-" + random.nextInt(5), JsonNodeFactory.instance.objectNode());
             }
         }
 
-        /** An entry's turn comes late at times, and now and then not for long. */
-        private void maintain(int which) {
-            if (millis < nextMaintenanceMillis[which]) {
+        /** Maintains an entry's lease if it is time; now and then the entry then pauses for up to 30 s longer than usual. */
+        private void maintain(int index) {
+            if (millis < nextMaintenanceMillis[index]) {
                 return;
             }
-            boolean silent = random.nextInt(40) == 0;
-            nextMaintenanceMillis[which] =
-                    millis + StageLease.RENEW_INTERVAL_MILLIS + (silent ? random.nextInt(30_000) : 0);
-            StageLease lease = leases.get(which);
+            boolean paused = random.nextInt(40) == 0;
+            nextMaintenanceMillis[index] =
+                    millis + StageLease.RENEW_INTERVAL_MILLIS + (paused ? random.nextInt(30_000) : 0);
+            StageLease lease = leases.get(index);
             if (lease.held() && random.nextBoolean()) {
-                lease.renew(() -> send(which, lease));
+                lease.renew(() -> send(index, lease));
             } else {
                 lease.maintain();
             }
         }
 
-        private void send(int which, StageLease lease) {
+        private void send(int index, StageLease lease) {
             if (lease.mayOrder()) {
                 long epoch = lease.epoch();
-                after(random.nextInt(LONGEST_ORDER_MILLIS), () -> executeOrder("e" + which, epoch));
+                after(random.nextInt(MAX_ORDER_DELAY_MILLIS), () -> executeOrder("e" + index, epoch));
             }
         }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Calls reach the store, and answers the entry, some time later; an answer may be lost. */
+    /** A store that calls reach, and whose answers arrive, after a random delay; an answer may be lost. */
     private static final class SlowStore implements ObjectStore {
         private final RandomSite site;
         private StorePosition lastPosition = StorePosition.NONE;
@@ -158,17 +158,17 @@
         }
 
         private void delayCall(Runnable call) {
-            site.after(site.random.nextInt(LONGEST_ANSWER_MILLIS), call);
+            site.after(site.random.nextInt(MAX_ANSWER_DELAY_MILLIS), call);
         }
 
-        private <T> Consumer<T> delayed(Consumer<T> taker, Consumer<StoreFailure> failed) {
+        private <T> Consumer<T> delayed(Consumer<T> done, Consumer<StoreFailure> failed) {
             boolean lost = site.random.nextInt(10) == 0;
-            return value -> site.after(site.random.nextInt(LONGEST_ANSWER_MILLIS), () -> {
+            return value -> site.after(site.random.nextInt(MAX_ANSWER_DELAY_MILLIS), () -> {
                 lastPosition = site.store.position();
                 if (lost) {
                     failed.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "no answer in time"));
                 } else {
-                    taker.accept(value);
+                    done.accept(value);
                 }
             });
         }
@@ -193,7 +193,7 @@
             delayCall(() -> site.store.create(kind, name, spec, delayed(done, failed), delayed(failed)));
         }
 
-        /** The store compares revisions alone, in whatever era it is when the call reaches it. */
+        /** Compares revisions only, in the era that the store has when the call reaches it. */
         @Override
         public void replace(
                 String kind,
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/RestoredStoreTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/RestoredStoreTest.java
@@ -12,9 +12,9 @@
 import org.quetzalseam.gateway.store.MemoryStore;
 
 /**
- * The lease when the store has come back from a copy some seconds old: what was written since is gone, and its revisions are
- * given out again. Entries took the record they found for an old answer, renewals and take-overs conflicted for ever, and a new
- * holder was given an epoch that a forgotten one had had.
+ * Tests the lease after the store was restored from a copy some seconds old: later writes are lost, and their revisions are
+ * assigned again. Guards against entries that take the restored record for a stale answer, so that renewals and take-overs conflict
+ * forever, and against a new holder that gets an epoch which a lost holder had.
  */
 class RestoredStoreTest {
     private static final String KIND = "quetzalseam-leases";
@@ -148,7 +148,7 @@
         int before = ordersOf(a) + ordersOf(b);
         roundsWithOtherWrites(MANY_ROUNDS, a, b);
         assertThat(ordersOf(a) + ordersOf(b)).isGreaterThan(before + MANY_ROUNDS / 2);
-        assertThat(a.held() != b.held()).as("one holds it").isTrue();
+        assertThat(a.held() != b.held()).as("exactly one holds it").isTrue();
     }
 
     @Test
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/StageControllerTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/StageControllerTest.java
@@ -25,11 +25,11 @@
 import org.quetzalseam.standins.raw.RawRequest;
 import org.quetzalseam.standins.raw.RawServer;
 
-/** What a keeper orders on the grounds of which report, over restarts of an engine. */
+/** Tests which orders a controller sends on the basis of which report, across restarts of an engine. */
 class StageControllerTest {
-    /** Samples after which an order is due by far: three of the same engines are needed. */
+    /** Samples after which an order must have been sent: three samples of the same engines are required. */
     private static final int ENOUGH_SAMPLES = 8;
-    /** Between two samples, in milliseconds: many round trips on loopback. */
+    /** Pause between calls, in milliseconds: many round trips on loopback. */
     private static final long PAUSE_MILLIS = 60;
 
     private static final long FIRST_START = 1_000;
@@ -40,12 +40,12 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final Timers timers = new Timers(group.next());
     private final Directory directory = new Directory(new Connector(group.next(), "x-id"));
-    private final StageController keeper =
+    private final StageController controller =
             new StageController(timers, directory, new TestProtocol(), new MemoryStore(), "s", SETTINGS);
     private final List<String> orders = new CopyOnWriteArrayList<>();
-    /** The engine that is ordered: of two equal ones, the one with the least id. */
+    /** The engine that receives the order: of two equal engines, the one with the lowest id. */
     private final RawServer first = new RawServer(this::reply);
-    /** The other engine, which is asked second and so answers when the first has. */
+    /** The other engine, which is asked second and so answers after the first. */
     private final RawServer second = new RawServer(this::replySecond);
 
     private volatile String report = FIRST_START + " 7";
@@ -55,7 +55,7 @@
     @BeforeEach
     void start() throws Exception {
         list(FIRST_START);
-        onLoop(keeper::maintainLease);
+        onLoop(controller::maintainLease);
     }
 
     @AfterEach
@@ -110,7 +110,7 @@
 
     private void sampleOften() throws Exception {
         for (int i = 0; i < ENOUGH_SAMPLES; i++) {
-            onLoop(keeper::sample);
+            onLoop(controller::sample);
             TimeUnit.MILLISECONDS.sleep(3 * PAUSE_MILLIS);
         }
     }
@@ -169,7 +169,7 @@
         assertThat(orders).hasSize(1);
     }
 
-    /** An engine that is busy with something else turns the order away; waiting for that order to be over would be in vain. */
+    /** An engine that is busy with something else rejects the order, which needs no cooldown as it is never executed. */
     @Test
     void aRejectedOrderIsFollowedByAnotherAtOnce() throws Exception {
         orderStatus = 409;
@@ -179,12 +179,12 @@
         assertThat(orders).hasSizeGreaterThan(1);
         int given = orders.size();
         sampleOften();
-        assertThat(orders).as("an accepted order rests").hasSize(given);
+        assertThat(orders).as("an accepted order starts a cooldown").hasSize(given);
     }
 
     @Test
     void aReportOfANewIncarnationWithALowerCountReplacesThePreviousOne() throws Exception {
-        onLoop(keeper::sample);
+        onLoop(controller::sample);
         sleep();
         report = SECOND_START + " 0";
         sampleOften();
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/StageLeaseTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/StageLeaseTest.java
@@ -19,7 +19,7 @@
     private final StageLease other = lease("other", second);
     private final AtomicInteger orders = new AtomicInteger();
 
-    /** A machine's clocks. */
+    /** The clocks of one machine. */
     private static final class Clock {
         private long steadyNanos = 1;
         private long wallMillis = 1_000_000;
@@ -40,9 +40,9 @@
         second.pass(millis);
     }
 
-    /** Lets both look once, and lets the time between two looks pass. */
-    private void round(StageLease... looking) {
-        for (StageLease lease : looking) {
+    /** Lets each of the given leases be maintained once, and then lets the interval between two rounds pass. */
+    private void round(StageLease... leases) {
+        for (StageLease lease : leases) {
             lease.maintain();
         }
         pass(StageLease.RENEW_INTERVAL_MILLIS);
@@ -88,7 +88,7 @@
         round(one, other);
         for (int i = 0; i < 5 && !other.held(); i++) {
             round(other);
-            // The turn in which it takes over is the one to look at.
+            // Steps back to the time of the take-over, which is the one to check.
             if (other.held()) {
                 second.pass(-StageLease.RENEW_INTERVAL_MILLIS);
             }
@@ -109,7 +109,7 @@
         for (int i = 0; i < 6; i++) {
             round(other);
         }
-        assertThat(one.held()).as("it can't know yet").isTrue();
+        assertThat(one.held()).as("it cannot know yet").isTrue();
         orderBy(one);
         assertThat(orders).hasValue(1);
         assertThat(one.held()).isFalse();
--- a/gateway/src/test/java/org/quetzalseam/gateway/store/KindWatchTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/store/KindWatchTest.java
@@ -49,7 +49,7 @@
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, at(5)));
         assertThat(store.after).isEqualTo("a");
         store.listed.accept(new ObjectPage(List.of(object("b", 4)), false, at(6)));
-        assertThat(listener.lines).containsExactly("listed a b away=false");
+        assertThat(listener.lines).containsExactly("listed a b recovered=false");
         assertThat(store.watchedFrom).isEqualTo(6);
     }
 
@@ -60,7 +60,7 @@
         store.failed.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "no answer in time"));
         pass(100);
         assertThat(store.waitMillis)
-                .as("a long wait at a silent store would hide its return for as long")
+                .as("a long wait at an unresponsive store would hide its recovery for as long")
                 .isEqualTo(KindWatch.NO_WAIT_MILLIS);
         assertThat(store.watchedFrom).isEqualTo(6);
         store.changed.accept(new ObjectChanges(List.of(), at(7)));
@@ -68,30 +68,30 @@
         assertThat(store.waitMillis).isEqualTo(KindWatch.WATCH_WAIT_MILLIS);
     }
 
-    // Guards against a change that is late as its watch waits on a connection that has gone silent.
+    // Guards against a change that is late because its watch waits on an unresponsive connection.
     @Test
     void aWatchWhoseAnswerIsLateIsRestartedOverAnotherConnection() {
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
-        Consumer<ObjectChanges> silent = store.changed;
-        Consumer<StoreFailure> silentFails = store.failed;
+        Consumer<ObjectChanges> lateAnswer = store.changed;
+        Consumer<StoreFailure> lateFailure = store.failed;
         int calls = store.calls;
         pass(KindWatch.WATCH_WAIT_MILLIS + KindWatch.LATE_AFTER_MILLIS);
         assertThat(store.calls).isEqualTo(calls + 1);
         assertThat(store.retirements)
-                .as("connections that rest may be as silent")
+                .as("idle connections may be unresponsive as well")
                 .isEqualTo(1);
         assertThat(store.waitMillis).isEqualTo(KindWatch.NO_WAIT_MILLIS);
         ObjectChanges.Change change = new ObjectChanges.Change(object("a", 7), false);
         store.changed.accept(new ObjectChanges(List.of(change), at(7)));
-        silentFails.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "no answer in time"));
-        silent.accept(new ObjectChanges(List.of(change), at(7)));
+        lateFailure.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "no answer in time"));
+        lateAnswer.accept(new ObjectChanges(List.of(change), at(7)));
         pass(KindWatch.BATCH_MILLIS);
-        assertThat(listener.lines).containsExactly("listed away=false", "changed a");
-        assertThat(store.calls).as("one watch goes on").isEqualTo(calls + 2);
+        assertThat(listener.lines).containsExactly("listed recovered=false", "changed a");
+        assertThat(store.calls).as("one watch continues").isEqualTo(calls + 2);
     }
 
-    // Guards against a silent store that is asked four times a second, and is never taken for away, as each call
-    // replaces the one before.
+    // Guards against an unresponsive store that is called four times a second but never counts as unavailable, because
+    // each call replaces the previous one before it can fail.
     @Test
     void aStoreThatIsUnresponsiveOverANewConnectionTooIsUnavailable() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
@@ -99,46 +99,46 @@
         int calls = store.calls;
         pass(KindWatch.LATE_AFTER_MILLIS + 1);
         pass(KindWatch.LATE_AFTER_MILLIS + 1);
-        assertThat(store.calls).as("the second call has its whole time").isEqualTo(calls);
+        assertThat(store.calls).as("the second call has its full time").isEqualTo(calls);
         store.failed.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "no answer in time"));
         pass(100);
         store.changed.accept(new ObjectChanges(List.of(new ObjectChanges.Change(object("a", 7), true)), at(7)));
-        assertThat(listener.lines).last().isEqualTo("deleted a away=true");
+        assertThat(listener.lines).last().isEqualTo("deleted a recovered=true");
     }
 
-    // Guards against a denial that rests on an old word: asked for, the newest state is known after one call.
+    // Guards against a denial based on an old response: on request, the newest state is known after one call.
     @Test
     void oneCallRefreshesAnOldStateForAllWhoWait() {
-        List<Boolean> known = new ArrayList<>();
+        List<Boolean> current = new ArrayList<>();
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
         assertThat(watch.current()).isTrue();
         pass(LastResponse.MAX_CURRENT_AGE_MILLIS + 1);
         assertThat(watch.current()).isFalse();
         int calls = store.calls;
-        watch.refresh(() -> known.add(watch.current()));
-        watch.refresh(() -> known.add(watch.current()));
+        watch.refresh(() -> current.add(watch.current()));
+        watch.refresh(() -> current.add(watch.current()));
         assertThat(store.calls).isEqualTo(calls + 1);
         assertThat(store.waitMillis).isEqualTo(KindWatch.NO_WAIT_MILLIS);
         store.changed.accept(new ObjectChanges(List.of(), at(6)));
-        assertThat(known).containsExactly(true, true);
+        assertThat(current).containsExactly(true, true);
         pass(0);
-        assertThat(store.waitMillis).as("the watch goes on").isEqualTo(KindWatch.WATCH_WAIT_MILLIS);
+        assertThat(store.waitMillis).as("the watch continues").isEqualTo(KindWatch.WATCH_WAIT_MILLIS);
     }
 
-    // Guards against requests that wait for a store that is known to be away.
+    // Guards against requests that wait for a store that is known to be unavailable.
     @Test
     void aRefreshEndsAtOnceWhileTheStoreIsUnavailable() {
-        List<Boolean> known = new ArrayList<>();
+        List<Boolean> current = new ArrayList<>();
         store.listed.accept(new ObjectPage(List.of(), false, at(6)));
         pass(LastResponse.MAX_CURRENT_AGE_MILLIS + 1);
-        watch.refresh(() -> known.add(watch.current()));
+        watch.refresh(() -> current.add(watch.current()));
         store.failed.accept(new StoreFailure(StoreFailure.Kind.DECLINED, "status 503"));
-        watch.refresh(() -> known.add(watch.current()));
-        assertThat(known).containsExactly(false, false);
+        watch.refresh(() -> current.add(watch.current()));
+        assertThat(current).containsExactly(false, false);
     }
 
-    // Guards against a denial that is true of an older copy alone, which the store shows until its writers have written
-    // again.
+    // Guards against a denial that holds only for an older copy, whose state the store shows until its writers have
+    // written again.
     @Test
     void theStateOfAnOlderCopyIsNotCurrentUntilWritersHaveWrittenAgain() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
@@ -150,7 +150,7 @@
         assertThat(watch.current()).isTrue();
     }
 
-    // Guards against the same at a process that has just started: it can't tell how long ago the store came back.
+    // Guards against the same in a process that has just started and cannot tell how long ago the store was restored.
     @Test
     void aNewProcessDoesNotTakeTheStateOfARestoredStoreForCurrent() {
         store.listed.accept(new ObjectPage(List.of(), false, ofNextEra(4)));
@@ -173,7 +173,7 @@
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
         store.failed.accept(new StoreFailure(StoreFailure.Kind.HISTORY_GONE, "status 410"));
         store.listed.accept(new ObjectPage(List.of(object("b", 9)), false, at(9)));
-        assertThat(listener.lines).containsExactly("listed a away=false", "listed b away=false");
+        assertThat(listener.lines).containsExactly("listed a recovered=false", "listed b recovered=false");
     }
 
     @Test
@@ -192,20 +192,20 @@
         store.listed.accept(new ObjectPage(List.of(object("a", 3), object("", -1)), true, at(5)));
         assertThat(store.after).isEqualTo("a");
         store.listed.accept(new ObjectPage(List.of(object("b", 4)), false, at(6)));
-        assertThat(listener.lines).containsExactly("listed a  b away=false");
+        assertThat(listener.lines).containsExactly("listed a  b recovered=false");
     }
 
     @Test
     void aPageWithoutANewLastNameRestartsTheList() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, at(5)));
         store.listed.accept(new ObjectPage(List.of(object("", -1)), true, at(5)));
-        assertThat(listener.lines).as("the rest would look gone").isEmpty();
+        assertThat(listener.lines).as("the missing objects would seem deleted").isEmpty();
         pass(300);
         assertThat(store.after).isNull();
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, at(5)));
         int calls = store.calls;
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, at(5)));
-        assertThat(store.calls).as("the same page for ever").isEqualTo(calls);
+        assertThat(store.calls).as("the same page would be requested forever").isEqualTo(calls);
         assertThat(listener.lines).isEmpty();
     }
 
@@ -218,7 +218,7 @@
         assertThat(store.calls).isEqualTo(calls + 1);
         store.listed.accept(new ObjectPage(List.of(object("a", 3), object("b", 7)), false, at(8)));
         assertThat(store.watchedFrom).isEqualTo(8);
-        assertThat(listener.lines).last().isEqualTo("listed a b away=true");
+        assertThat(listener.lines).last().isEqualTo("listed a b recovered=true");
     }
 
     @Test
@@ -250,7 +250,7 @@
         return new StorePosition(StorePosition.NO_ERA + 1, revision);
     }
 
-    /** The revision that was asked about exists again, so the store answers, without what came before it in this era. */
+    /** The requested revision exists again, so the store answers, but without the changes before it in the new era. */
     @Test
     void anAnswerOfALaterEraLeadsToANewListMarkedAsAfterAnOutage() {
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), false, at(6)));
@@ -258,9 +258,9 @@
         ObjectChanges.Change change = new ObjectChanges.Change(object("c", 8), false);
         store.changed.accept(new ObjectChanges(List.of(change), ofNextEra(8)));
         pass(0);
-        assertThat(store.calls).as("a list, at once").isEqualTo(calls + 1);
+        assertThat(store.calls).as("a list is requested at once").isEqualTo(calls + 1);
         store.listed.accept(new ObjectPage(List.of(object("b", 4)), false, ofNextEra(8)));
-        assertThat(listener.lines).containsExactly("listed a away=false", "listed b away=true");
+        assertThat(listener.lines).containsExactly("listed a recovered=false", "listed b recovered=true");
         assertThat(store.watchedFrom).isEqualTo(8);
     }
 
@@ -272,7 +272,7 @@
         assertThat(store.after).isNull();
         store.listed.accept(new ObjectPage(List.of(object("a", 3)), true, ofNextEra(5)));
         store.listed.accept(new ObjectPage(List.of(object("b", 4)), false, ofNextEra(5)));
-        assertThat(listener.lines).containsExactly("listed a b away=false");
+        assertThat(listener.lines).containsExactly("listed a b recovered=false");
     }
 
     @Test
@@ -281,7 +281,7 @@
         store.failed.accept(new StoreFailure(StoreFailure.Kind.UNKNOWN, "reset"));
         pass(100);
         store.changed.accept(new ObjectChanges(List.of(new ObjectChanges.Change(object("a", 7), true)), at(7)));
-        assertThat(listener.lines).last().isEqualTo("deleted a away=true");
+        assertThat(listener.lines).last().isEqualTo("deleted a recovered=true");
     }
 
     private static final class RecordingListener implements KindListener {
@@ -289,10 +289,10 @@
         private final List<String> lines = new ArrayList<>();
 
         @Override
-        public void listed(List<StoredObject> objects, boolean storeWasAway) {
+        public void listed(List<StoredObject> objects, boolean storeJustRecovered) {
             StringBuilder names = new StringBuilder("listed");
             objects.forEach(object -> names.append(' ').append(object.name()));
-            lines.add(names + " away=" + storeWasAway);
+            lines.add(names + " recovered=" + storeJustRecovered);
         }
 
         @Override
@@ -304,12 +304,12 @@
         }
 
         @Override
-        public void deleted(StoredObject object, boolean storeWasAway) {
-            lines.add("deleted " + object.name() + " away=" + storeWasAway);
+        public void deleted(StoredObject object, boolean storeJustRecovered) {
+            lines.add("deleted " + object.name() + " recovered=" + storeJustRecovered);
         }
     }
 
-    /** Keeps the last call's consumers, for the test to answer through. */
+    /** Keeps the consumers of the last call, so that the test can answer it. */
     private static final class FakeStore implements ObjectStore {
         private Consumer<ObjectPage> listed = page -> {};
         private Consumer<ObjectChanges> changed = changes -> {};
--- a/gateway/src/test/java/org/quetzalseam/gateway/store/MemoryStore.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/store/MemoryStore.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.core.store.StorePosition;
 
-/** A store in memory that answers at once, unless a test has it decline calls or lose the answers of writes. */
+/** A store in memory that answers at once, unless a test makes it decline calls or lose the answers to writes. */
 public final class MemoryStore implements ObjectStore {
     private final Map<String, StoredObject> objects = new TreeMap<>();
     private StorePosition shown = StorePosition.NONE;
@@ -21,38 +21,38 @@
     private @Nullable StoredObject recentObject;
     private @Nullable List<StoredObject> recentList;
 
-    /** Has calls declined, or no longer. */
-    public void declining(boolean now) {
-        declining = now;
+    /** Sets whether calls are declined. */
+    public void declining(boolean declining) {
+        this.declining = declining;
     }
 
-    /** Has writes done without an answer that tells so, or no longer. */
-    public void losingAnswers(boolean now) {
-        losingAnswers = now;
+    /** Sets whether writes take effect while their answers are lost. */
+    public void losingAnswers(boolean losingAnswers) {
+        this.losingAnswers = losingAnswers;
     }
 
-    /** Has an object answered, as it was, to all who take an old answer. */
+    /** Sets the old object with which calls of {@link #readRecent} are answered. */
     public void answerRecentReadsWith(StoredObject object) {
         recentObject = object;
     }
 
-    /** Has a list answered, as it was, to all who take an old answer; null for the newest again. */
+    /** Sets the old list with which calls of {@link #listRecent} are answered; null for the newest state again. */
     public void answerRecentListsWith(@Nullable List<StoredObject> objects) {
         recentList = objects;
     }
 
-    /** Returns how often a kind was listed. */
+    /** Returns how often a kind has been listed. */
     public int lists() {
         return lists;
     }
 
-    /** Returns an object's content. */
+    /** Returns an object's content, or null where there is no such object. */
     public @Nullable JsonNode spec(String kind, String name) {
         StoredObject object = objects.get(kind + "/" + name);
         return object == null ? null : object.spec();
     }
 
-    /** Writes an object, whatever it was before. */
+    /** Writes an object unconditionally. */
     public StoredObject put(String kind, String name, JsonNode spec) {
         revision++;
         StoredObject object = new StoredObject(name, now(), spec);
@@ -60,15 +60,15 @@
         return object;
     }
 
-    /** What the store held at a moment. */
+    /** The content of the store at one time. */
     public record Copy(Map<String, StoredObject> objects, long revision) {}
 
-    /** Returns a copy to come back from. */
+    /** Returns a copy from which the store can be restored. */
     public Copy copy() {
         return new Copy(Map.copyOf(objects), revision);
     }
 
-    /** Comes back from a copy, in a new era: what was written since is gone, and its revisions are given out again. */
+    /** Restores the store from a copy, in a new era: later writes are lost, and their revisions are assigned again. */
     public void restore(Copy copy) {
         era++;
         objects.clear();
@@ -82,7 +82,7 @@
         revision = copy.revision();
     }
 
-    /** Returns the store's own era. */
+    /** Returns the store's present era, which callers may not have seen yet. */
     public long era() {
         return era;
     }
