--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/LeaseRecord.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/LeaseRecord.java
@@ -9,11 +9,13 @@
  * The record of a lease in the store. Immutable.
  *
  * @param holder the name of the entry that holds the lease
- * @param epoch the number of this term of the lease, which rises with each take-over and which the holder's orders carry
+ * @param epoch the number of this term of the lease, which the holder's orders carry
  * @param renewals the number of renewals, so that each renewal changes the record
  */
 record LeaseRecord(String holder, long epoch, long renewals) {
-    /** Largest number in a record: its writers can still increment it, and readers that support only doubles represent it exactly. */
+    /**
+     * Largest number in a record: its writers can still increment it, as can readers whose numbers are doubles only.
+     */
     private static final long MAX_COUNT = (1L << 53) - 1;
 
     /**
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
@@ -15,9 +15,9 @@
  * The lease, in the platform's store, that permits an entry to order one service's engines between stages. Used on the event loop
  * only.
  *
- * <p>Where the store was restored from an older copy, its record counts as nobody's, whatever holder it names: the record of a later
- * holder may have been lost with all that was written since the copy. The holder loses the lease, and it is taken over like the
- * lease of a holder that has stopped renewing.
+ * <p>Where the store was restored from an older copy, its record counts as nobody's, whatever holder it names: the record of a
+ * later holder may have been lost with all that was written since the copy. The holder loses the lease, and it is taken over like
+ * the lease of a holder that has stopped renewing.
  */
 final class StageLease {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/gateway/src/main/java/org/quetzalseam/gateway/store/KindWatch.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/KindWatch.java
@@ -166,8 +166,7 @@
             recoveredAtNanos = timers.now();
         }
         if (lastListed.era() != position.era()) {
-            // A process that has just started cannot tell how long ago the store was restored: it may have been just
-            // now.
+            // A process that has just started cannot tell how long ago the store was restored.
             lastResponse.recordRestore(timers.now());
         }
         lastListed = position;
--- a/gateway/src/test/java/org/quetzalseam/gateway/stage/StageLeaseTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/stage/StageLeaseTest.java
@@ -13,10 +13,10 @@
     private static final String KIND = "quetzalseam-leases";
 
     private final MemoryStore store = new MemoryStore();
-    private final Clock first = new Clock();
-    private final Clock second = new Clock();
-    private final StageLease one = lease("one", first);
-    private final StageLease other = lease("other", second);
+    private final Clock firstClock = new Clock();
+    private final Clock secondClock = new Clock();
+    private final StageLease firstLease = lease("one", firstClock);
+    private final StageLease secondLease = lease("other", secondClock);
     private final AtomicInteger orders = new AtomicInteger();
 
     /** The clocks of one machine. */
@@ -36,8 +36,8 @@
     }
 
     private void pass(long millis) {
-        first.pass(millis);
-        second.pass(millis);
+        firstClock.pass(millis);
+        secondClock.pass(millis);
     }
 
     /** Lets each of the given leases be maintained once, and then lets the interval between two rounds pass. */
@@ -58,112 +58,112 @@
 
     @Test
     void oneOfTwoEntriesHoldsTheLease() {
-        round(one, other);
-        round(one, other);
-        assertThat(one.held()).isTrue();
-        assertThat(other.held()).isFalse();
+        round(firstLease, secondLease);
+        round(firstLease, secondLease);
+        assertThat(firstLease.held()).isTrue();
+        assertThat(secondLease.held()).isFalse();
     }
 
     @Test
     void aHolderThatRenewsKeepsTheLease() {
         for (int i = 0; i < 20; i++) {
-            round(one, other);
+            round(firstLease, secondLease);
         }
-        assertThat(one.held()).isTrue();
-        assertThat(other.held()).isFalse();
+        assertThat(firstLease.held()).isTrue();
+        assertThat(secondLease.held()).isFalse();
     }
 
     @Test
     void aLeaseThatIsNotRenewedIsTakenOverUnderAHigherEpoch() {
-        round(one, other);
+        round(firstLease, secondLease);
         for (int i = 0; i < 6; i++) {
-            round(other);
+            round(secondLease);
         }
-        assertThat(other.held()).isTrue();
-        assertThat(other.epoch()).isEqualTo(2);
+        assertThat(secondLease.held()).isTrue();
+        assertThat(secondLease.epoch()).isEqualTo(2);
     }
 
     @Test
     void aNewHolderGivesNoOrderWhileOneOfThePreviousHolderMayBeInFlight() {
-        round(one, other);
-        for (int i = 0; i < 5 && !other.held(); i++) {
-            round(other);
+        round(firstLease, secondLease);
+        for (int i = 0; i < 5 && !secondLease.held(); i++) {
+            round(secondLease);
             // Steps back to the time of the take-over, which is the one to check.
-            if (other.held()) {
-                second.pass(-StageLease.RENEW_INTERVAL_MILLIS);
+            if (secondLease.held()) {
+                secondClock.pass(-StageLease.RENEW_INTERVAL_MILLIS);
             }
         }
-        assertThat(other.held()).isTrue();
-        orderBy(other);
+        assertThat(secondLease.held()).isTrue();
+        orderBy(secondLease);
         assertThat(orders).hasValue(0);
         pass(10_000);
-        orderBy(other);
+        orderBy(secondLease);
         assertThat(orders).hasValue(1);
     }
 
     @Test
     void aHolderThatWasReplacedWhileItWasFrozenGivesNoOrder() {
-        round(one, other);
-        orderBy(one);
+        round(firstLease, secondLease);
+        orderBy(firstLease);
         assertThat(orders).hasValue(1);
         for (int i = 0; i < 6; i++) {
-            round(other);
+            round(secondLease);
         }
-        assertThat(one.held()).as("it cannot know yet").isTrue();
-        orderBy(one);
+        assertThat(firstLease.held()).as("it cannot know yet").isTrue();
+        orderBy(firstLease);
         assertThat(orders).hasValue(1);
-        assertThat(one.held()).isFalse();
+        assertThat(firstLease.held()).isFalse();
     }
 
     @Test
     void anOldRenewalPermitsNoOrder() {
-        round(one);
-        one.renew(() -> {});
-        assertThat(one.mayOrder()).isTrue();
-        first.pass(1_500);
-        assertThat(one.mayOrder()).isFalse();
+        round(firstLease);
+        firstLease.renew(() -> {});
+        assertThat(firstLease.mayOrder()).isTrue();
+        firstClock.pass(1_500);
+        assertThat(firstLease.mayOrder()).isFalse();
     }
 
     @Test
     void aSuspendedMachineGivesNoOrderAlthoughItsMonotonicClockStoodStill() {
-        round(one);
-        one.renew(() -> {});
-        first.wallMillis += 5_000;
-        assertThat(one.mayOrder()).isFalse();
+        round(firstLease);
+        firstLease.renew(() -> {});
+        firstClock.wallMillis += 5_000;
+        assertThat(firstLease.mayOrder()).isFalse();
     }
 
     @Test
     void aRenewalWhoseAnswerIsLostPermitsNoOrder() {
-        round(one);
+        round(firstLease);
         store.losingAnswers(true);
-        orderBy(one);
+        orderBy(firstLease);
         assertThat(orders).hasValue(0);
         store.losingAnswers(false);
-        orderBy(one);
+        orderBy(firstLease);
         assertThat(orders).hasValue(1);
     }
 
     @Test
     void aLeaseWhoseCreationWasNotAnsweredIsHeldAfterTheNextRead() {
         store.losingAnswers(true);
-        round(one);
+        round(firstLease);
         assertThat(store.spec(KIND, "s")).isNotNull();
         store.losingAnswers(false);
-        round(one);
-        assertThat(one.held()).isTrue();
+        round(firstLease);
+        assertThat(firstLease.held()).isTrue();
     }
 
     @Test
     void nobodyTakesTheLeaseOverWhileTheStoreDeclinesCalls() {
-        round(one, other);
+        round(firstLease, secondLease);
         store.declining(true);
         for (int i = 0; i < 10; i++) {
-            round(one, other);
+            round(firstLease, secondLease);
         }
-        assertThat(other.held()).isFalse();
+        assertThat(secondLease.held()).isFalse();
         store.declining(false);
-        round(one, other);
-        assertThat(one.held()).isTrue();
-        assertThat(other.held()).isFalse();
+        round(firstLease, secondLease);
+        assertThat(firstLease.held()).isTrue();
+        assertThat(secondLease.held()).isFalse();
     }
 }
