--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -41,7 +41,7 @@
     Optional<Endpoint> best(int tokens, Collection<Endpoint> without, String zone) {
         long now = context.now();
         List<Endpoint> reachable = usable().stream()
-                .filter(engine -> !without.contains(engine) && engine.reachable())
+                .filter(engine -> !without.contains(engine) && engine.hasFreeConnection())
                 .toList();
         List<Endpoint> sound = reachable.stream()
                 .filter(engine -> !engine.health().suspect(now))
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -11,9 +11,9 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.endpoint.EndpointCall;
 import org.quetzalseam.gateway.http.CallFailure;
-import org.quetzalseam.gateway.http.WholeReply;
+import org.quetzalseam.gateway.http.ReplyCollector;
 import org.quetzalseam.gateway.protocol.Forwarding;
-import org.quetzalseam.gateway.runtime.Subscription;
+import org.quetzalseam.gateway.runtime.ScheduledCall;
 
 /** The reading of one request's prompt at a prefill engine. Used on the event loop only. */
 final class PrefillRun {
@@ -61,8 +61,8 @@
     private final Set<Endpoint> tried = new HashSet<>();
     private ReadingPool<Endpoint>.@Nullable Reading prefill;
     private @Nullable EndpointCall call;
-    private @Nullable Subscription checkTimer;
-    private @Nullable Subscription giveUpTimer;
+    private @Nullable ScheduledCall checkTimer;
+    private @Nullable ScheduledCall giveUpTimer;
 
     PrefillRun(
             RunContext context,
@@ -117,7 +117,7 @@
         tried.add(engine);
         prefill = begun;
         long sentAt = context.now();
-        WholeReply reply = new WholeReply(
+        ReplyCollector reply = new ReplyCollector(
                 MAX_REPLY_BYTES,
                 (answer, body) -> answered(engine, decoder, answer, body, sentAt),
                 failure -> failed(engine, decoder, failure));
@@ -166,7 +166,7 @@
 
     private void answered(Endpoint engine, Endpoint decoder, HttpResponse answer, ByteBuf body, long sentAt) {
         ReadingPool<Endpoint>.Reading begun = prefill;
-        String text = WholeReply.text(body);
+        String text = ReplyCollector.text(body);
         body.release();
         // A handle of an ended life may be another prompt's in the next.
         Optional<String> handle = answer.status().code() == 200 && !engine.ended()
@@ -178,7 +178,7 @@
         }
         end();
         if (handle.isEmpty()) {
-            engine.work().turnedAway(context.now());
+            engine.workRejections().turnedAway(context.now());
             log.step(
                     "prefill-refused",
                     engine,
@@ -186,7 +186,7 @@
             retryElsewhere(decoder);
             return;
         }
-        engine.work().taken();
+        engine.workRejections().taken();
         engine.health().succeeded(context.now(), millis);
         long predicted = begun == null ? 0 : Math.round(begun.predictedMillis());
         log.step("prefilled", engine, "took_ms=" + Math.round(millis) + " predicted_ms=" + predicted);
@@ -227,7 +227,7 @@
         }
     }
 
-    private static void cancel(@Nullable Subscription subscription) {
+    private static void cancel(@Nullable ScheduledCall subscription) {
         if (subscription != null) {
             subscription.cancel();
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -133,8 +133,9 @@
                         pace,
                         turn.maxPauseMillis(),
                         now)
-                .filter(free ->
-                        free.reachable() && !free.leftOut(now) && !free.health().suspect(now));
+                .filter(free -> free.hasFreeConnection()
+                        && !free.excluded(now)
+                        && !free.health().suspect(now));
         engine.ifPresent(chosen -> inPlace.begin(chosen, turn.promptTokens(), pace, now));
         return engine;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
@@ -78,7 +78,7 @@
 
     /** Returns whether the entry can serve: it knows its routes and its endpoints. */
     public boolean ready() {
-        return routes != null && context.directory().known();
+        return routes != null && context.directory().loaded();
     }
 
     /** Returns what callers may send. */
@@ -97,7 +97,7 @@
     /** Answers a request. */
     public void route(Exchange exchange) {
         RouteTable table = routes;
-        if (table == null || !context.directory().known()) {
+        if (table == null || !context.directory().loaded()) {
             // A process that has just started is asked before it has heard from the store; its callers needn't come
             // back for that.
             earlyRequests.add(exchange);
--- a/gateway/src/main/java/org/quetzalseam/gateway/store/KindWatch.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/KindWatch.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.core.store.StorePosition;
-import org.quetzalseam.gateway.runtime.Subscription;
+import org.quetzalseam.gateway.runtime.ScheduledCall;
 import org.quetzalseam.gateway.runtime.Timers;
 
 /**
@@ -44,7 +44,7 @@
     /** How long after the store's recovery objects of live processes may still be missing, in nanoseconds. */
     private static final long RECOVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
-    private static final Subscription NO_TIMER = () -> {};
+    private static final ScheduledCall NO_TIMER = () -> {};
 
     private final Timers timers;
     private final ObjectStore store;
@@ -67,7 +67,7 @@
     /** Whether the call in flight is to be answered at once, so that a refresh needs no other one. */
     private boolean immediateAnswerExpected;
 
-    private Subscription nextCall = NO_TIMER;
+    private ScheduledCall nextCall = NO_TIMER;
 
     /** Creates a watch, which {@link #start} begins. */
     public KindWatch(Timers timers, ObjectStore store, String kind, KindListener listener) {
@@ -206,7 +206,7 @@
         immediateAnswerExpected = waitMillis == NO_WAIT_MILLIS;
         nextCall.cancel();
         StorePosition from = newest;
-        Subscription lateTimer =
+        ScheduledCall lateTimer =
                 mayBeLate ? timers.after(waitMillis + LATE_AFTER_MILLIS, () -> restartWatch(watch)) : NO_TIMER;
         store.watch(
                 kind,
@@ -216,7 +216,7 @@
                 failure -> onAnswer(watch, lateTimer, () -> watchFailed(from, failure)));
     }
 
-    private void onAnswer(long watch, Subscription lateTimer, Runnable call) {
+    private void onAnswer(long watch, ScheduledCall lateTimer, Runnable call) {
         lateTimer.cancel();
         if (watch == newestWatch) {
             call.run();
