--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
@@ -195,7 +195,7 @@
         Optional<Endpoint> engine = engines.stream()
                 .filter(candidate -> reservation.accepts(candidate) && mayHaveRoom(candidate, reservation, now))
                 .min(Comparator.<Endpoint, Boolean>comparing(
-                                candidate -> candidate.health().suspect(now))
+                                candidate -> candidate.health().isSuspect(now))
                         .thenComparingInt(candidate -> bookedTokens.getOrDefault(candidate, 0))
                         .thenComparing(candidate -> ThreadLocalRandom.current().nextInt()));
         if (engine.isEmpty() && reservation.refusedWhenFull()) {
@@ -310,7 +310,7 @@
 
     private void unanswered(BookingRequest reservation, Endpoint engine, CallFailure failure) {
         recordAnswer(reservation, engine);
-        engine.health().failed(context.now());
+        engine.health().recordFailure(context.now());
         refusals.put(engine, new Refusal(context.now(), 0));
         logger.atInfo().log(
                 "event=booking-failed service=%s endpoint=%s kind=%s detail=\"%s\"",
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
@@ -20,13 +20,13 @@
 
     /** Returns the longest pause between events that is in time, in milliseconds; 0 where there is no such objective. */
     double maxPauseMillis() {
-        return (double) route.pauseMillis();
+        return (double) route.targetGapMillis();
     }
 
     /** Returns what is left at this moment: an answer whose first event comes after its caller has given up is of no use. */
     ReadingPool.Due remaining() {
-        double inTime = (double) route.targetMillis() - exchange.ageMillis() - earlierAttemptsMillis;
-        long left = Math.min(forwarded.remainingMillis(), route.silenceMillis() - exchange.ageMillis());
-        return new ReadingPool.Due(inTime, (double) left, (double) route.targetMillis());
+        double inTime = (double) route.targetLatencyMillis() - exchange.ageMillis() - earlierAttemptsMillis;
+        long left = Math.min(forwarded.remainingMillis(), route.idleTimeoutMillis() - exchange.ageMillis());
+        return new ReadingPool.Due(inTime, (double) left, (double) route.targetLatencyMillis());
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -44,7 +44,7 @@
                 .filter(engine -> !without.contains(engine) && engine.hasFreeConnection())
                 .toList();
         List<Endpoint> sound = reachable.stream()
-                .filter(engine -> !engine.health().suspect(now))
+                .filter(engine -> !engine.health().isSuspect(now))
                 .toList();
         Comparator<Endpoint> ties = Comparator.<Endpoint, Boolean>comparing(
                         engine -> !engine.member().zone().equals(zone))
@@ -98,7 +98,7 @@
 
     /** Returns whether a reading is to be begun elsewhere. */
     boolean isLost(ReadingPool<Endpoint>.Reading reading, Endpoint engine) {
-        boolean gone = !engine.member().leaving() && !context.directory().usable(engine);
+        boolean gone = !engine.member().draining() && !context.directory().usable(engine);
         return reading.lost(usable(), gone, context.now());
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -140,7 +140,7 @@
         }
         asked.cancel();
         end();
-        engine.health().failed(context.now());
+        engine.health().recordFailure(context.now());
         log.callFailed(
                 "prefill",
                 engine,
@@ -178,7 +178,7 @@
         }
         end();
         if (handle.isEmpty()) {
-            engine.workRejections().turnedAway(context.now());
+            engine.workRejections().recordRejection(context.now());
             log.step(
                     "prefill-refused",
                     engine,
@@ -186,8 +186,8 @@
             retryElsewhere(decoder);
             return;
         }
-        engine.workRejections().taken();
-        engine.health().succeeded(context.now(), millis);
+        engine.workRejections().recordAcceptance();
+        engine.health().recordSuccess(context.now(), millis);
         long predicted = begun == null ? 0 : Math.round(begun.predictedMillis());
         log.step("prefilled", engine, "took_ms=" + Math.round(millis) + " predicted_ms=" + predicted);
         listener.prefilled(engine, handle.get());
@@ -195,7 +195,7 @@
 
     private void failed(Endpoint engine, Endpoint decoder, CallFailure failure) {
         end();
-        engine.health().failed(context.now());
+        engine.health().recordFailure(context.now());
         log.callFailed("prefill", engine, failure);
         retryElsewhere(decoder);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -135,7 +135,7 @@
                         now)
                 .filter(free -> free.hasFreeConnection()
                         && !free.excluded(now)
-                        && !free.health().suspect(now));
+                        && !free.health().isSuspect(now));
         engine.ifPresent(chosen -> inPlace.begin(chosen, turn.promptTokens(), pace, now));
         return engine;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
@@ -226,7 +226,7 @@
 
     private void onRecord(StoredObject object) {
         callInFlight = false;
-        if (object.position().before(lease.position())) {
+        if (object.position().isBefore(lease.position())) {
             // A stale answer: the known record is newer.
             return;
         }
