--- a/gateway/src/main/java/org/quetzalseam/gateway/store/KindWatch.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/KindWatch.java
@@ -166,7 +166,7 @@
             recoveredAtNanos = timers.now();
         }
         if (lastListed.era() != position.era()) {
-            // A process that has just started cannot tell how long ago the store was restored.
+            // To a new process, a store that was restored earlier may have been restored just now.
             lastResponse.recordRestore(timers.now());
         }
         lastListed = position;
