--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
@@ -68,7 +68,7 @@
     }
 
     boolean held() {
-        return lease.held();
+        return lease.isHeld();
     }
 
     long epoch() {
@@ -84,11 +84,11 @@
         if (callInFlight) {
             return;
         }
-        if (!lease.known()) {
+        if (!lease.isKnown()) {
             read();
-        } else if (lease.held()) {
+        } else if (lease.isHeld()) {
             renew(() -> {});
-        } else if (lease.lapsed(timers.now())) {
+        } else if (lease.hasLapsed(timers.now())) {
             takeOver(true);
         } else {
             checkHolder();
@@ -121,7 +121,7 @@
 
     private void readFailed(StoreFailure failure) {
         callInFlight = false;
-        if (failure.kind() == StoreFailure.Kind.NOT_FOUND && !lease.known()) {
+        if (failure.kind() == StoreFailure.Kind.NOT_FOUND && !lease.isKnown()) {
             create();
             return;
         }
@@ -217,8 +217,8 @@
     /** Handles a record that this process has written in place of another holder's or where nobody held the lease. */
     private void onAcquired(StoredObject object, boolean mayFollowHolder, String previousHolder) {
         onRecord(object);
-        if (lease.held()) {
-            lease.taken(mayFollowHolder, timers.now());
+        if (lease.isHeld()) {
+            lease.acquired(mayFollowHolder, timers.now());
             logger.atInfo().log(
                     "event=lease-taken service=%s epoch=%d before=%s", service, lease.epoch(), previousHolder);
         }
@@ -230,17 +230,17 @@
             // A stale answer: the known record is newer.
             return;
         }
-        boolean heldBefore = lease.held();
+        boolean heldBefore = lease.isHeld();
         recordEverSeen = true;
         newestPosition = StorePosition.later(newestPosition, object.position());
         record = parse(object);
         highestEpoch = Math.max(highestEpoch, record.epoch());
-        lease.seen(record.holder(), record.epoch(), object.position(), timers.now());
-        if (!heldBefore && lease.held()) {
+        lease.observe(record.holder(), record.epoch(), object.position(), timers.now());
+        if (!heldBefore && lease.isHeld()) {
             // An order of a previous holder may still be in flight.
-            lease.taken(true, timers.now());
+            lease.acquired(true, timers.now());
         }
-        if (heldBefore && !lease.held()) {
+        if (heldBefore && !lease.isHeld()) {
             logger.atInfo().log("event=lease-lost service=%s to=%s epoch=%d", service, holder(), record.epoch());
         }
     }
@@ -294,7 +294,7 @@
     }
 
     private void forget() {
-        if (lease.held()) {
+        if (lease.isHeld()) {
             logger.atInfo().log("event=lease-lost service=%s to=%s epoch=%d", service, NO_HOLDER_NAME, lease.epoch());
         }
         lease.forget();
