--- a/gateway/src/main/java/org/quetzalseam/gateway/EntryProcess.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/EntryProcess.java
@@ -17,12 +17,12 @@
 import org.quetzalseam.gateway.runtime.Timers;
 
 /**
- * An entry: takes callers' requests on one event loop and forwards them. What it routes by, it is given through {@link
- * #router} and {@link #directory}, on the thread of its {@link #timers}.
+ * The streaming entry: accepts callers' requests on one event loop and forwards them to endpoints. Its owner supplies routes
+ * and endpoints through {@link #router} and {@link #directory}, on the thread of its {@link #timers}.
  */
 public final class EntryProcess {
     private static final String METRICS_PATH = "/metrics";
-    /** How often the loop's delay is measured, in milliseconds. */
+    /** How often the event loop's delay is measured, in milliseconds. */
     private static final long LOOP_DELAY_INTERVAL_MILLIS = 500;
 
     private final NioEventLoopGroup group;
@@ -39,7 +39,7 @@
     private long loopMeasuredAt;
     private long loopDelayMillis;
 
-    /** Creates an entry; {@link #start} opens it. */
+    /** Creates an entry that listens nowhere until {@link #start} is called. */
     public EntryProcess(Protocol protocol, EntrySettings settings) {
         group = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
         loop = group.next();
@@ -57,27 +57,27 @@
         return timers;
     }
 
-    /** Returns what opens connections on the event loop. */
+    /** Returns the connector that opens connections on the event loop. */
     public Connector connector() {
         return connector;
     }
 
-    /** Returns the endpoints, to be kept up to date. */
+    /** Returns the directory of endpoints, which the owner of this entry keeps up to date. */
     public Directory directory() {
         return directory;
     }
 
-    /** Returns the router, to be given the desired state. */
+    /** Returns the router, which the owner of this entry supplies with the desired state. */
     public RequestRouter router() {
         return router;
     }
 
     /**
-     * Listens for callers, for questions about readiness, and for those who ask for the metrics. An address with port 0 gets a port
-     * of the system's choice.
+     * Starts to listen for callers, for readiness checks and for metrics requests. For an address with port 0 the operating
+     * system chooses a port.
      *
      * @return the addresses with their real ports
-     * @throws org.quetzalseam.gateway.http.GatewayException if one of the addresses can't be listened on
+     * @throws org.quetzalseam.gateway.http.GatewayException if the process cannot listen on one of the addresses
      */
     public ListeningAddresses start(
             InetSocketAddress callerAddress, InetSocketAddress readyAddress, InetSocketAddress metricsAddress) {
@@ -102,7 +102,7 @@
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** The time by which the loop's own timer is late tells how long everything else waits for it. */
+    /** Measures by how much a timer of the event loop is late, which is how long all other work waits for the loop. */
     private void measureLoopDelay() {
         long now = timers.now();
         if (loopMeasuredAt != 0) {
@@ -112,24 +112,27 @@
         loopMeasuredAt = now;
     }
 
-    /** Takes the number of entries, which share budgets and leave in turn. */
+    /** Sets the number of entries, which share budgets and shut down one after the other. */
     public void entryCountChanged(EntryCount count) {
         entryCount = count;
         router.entries(count);
     }
 
-    /** Returns the metrics, for what is measured outside the entry's own parts. */
+    /** Returns the metrics, to which code outside the entry adds its own measurements. */
     public GatewayMetrics metrics() {
         return metrics;
     }
 
-    /** Leaves: tells that it isn't ready, ends what it has taken, and returns when that is done or time is up. */
+    /**
+     * Shuts the entry down in order: it reports that it is not ready and completes the requests that it has accepted. Returns
+     * when they have ended or the grace period is over.
+     */
     public void drain(long graceMillis) {
         draining = true;
         new EntryShutdown(timers, callerServer, router).run(graceMillis, entryCount);
     }
 
-    /** Drops everything at once. */
+    /** Stops at once; requests in progress and connections are dropped. */
     public void stop() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/EntryShutdown.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/EntryShutdown.java
@@ -9,12 +9,12 @@
 import org.quetzalseam.gateway.route.RequestRouter;
 import org.quetzalseam.gateway.runtime.Timers;
 
-/** The planned stop of an entry, from the signal to the moment at which the process may end. */
+/** Shuts an entry down in order, from the stop signal until the process may exit. */
 final class EntryShutdown {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** How often a leaving entry looks whether it is done, in milliseconds. */
+    /** How often a draining entry checks whether all requests have ended, in milliseconds. */
     private static final long DRAIN_CHECK_MILLIS = 50;
-    /** Time for the last answers to be written, in milliseconds; part of what the grace period keeps for the end. */
+    /** Time allowed for writing the last answers, in milliseconds; part of the grace period's margin for the end. */
     private static final long FINAL_WRITE_MILLIS = 100;
 
     private final Timers timers;
@@ -28,16 +28,21 @@
         this.router = router;
     }
 
-    /** Returns when nothing is under way any more, or the time is up. */
+    /**
+     * Drains the entry. Returns when no request is in progress any more, or when the grace period is over.
+     *
+     * @param graceMillis the grace period, in milliseconds
+     * @param entries the number of entries, which shut down one after the other, and this entry's rank among them
+     */
     void run(long graceMillis, EntryCount entries) {
-        long begunAt = timers.now();
-        GracePeriod grace =
-                new GracePeriod(begunAt, TimeUnit.MILLISECONDS.toNanos(graceMillis), entries.rank(), entries.entries());
+        long startedAt = timers.now();
+        GracePeriod grace = new GracePeriod(
+                startedAt, TimeUnit.MILLISECONDS.toNanos(graceMillis), entries.rank(), entries.entries());
         timers.soon(() -> {
             logger.atInfo().log("event=leaving requests=%d", callers.inProgress());
             callers.startDraining();
             router.startDraining(grace);
-            checkDrained(grace, begunAt);
+            checkDrained(grace, startedAt);
         });
         try {
             if (!done.await(graceMillis, TimeUnit.MILLISECONDS)) {
@@ -48,20 +53,20 @@
         }
     }
 
-    private void checkDrained(GracePeriod grace, long begunAt) {
+    private void checkDrained(GracePeriod grace, long startedAt) {
         long now = timers.now();
         if (grace.over(now) || grace.mayEndEarly(now, callers.inProgress() + callers.arriving())) {
-            finish(TimeUnit.NANOSECONDS.toMillis(now - begunAt));
+            finish(TimeUnit.NANOSECONDS.toMillis(now - startedAt));
             return;
         }
         if (grace.noticed(now)) {
             callers.closeIdle();
         }
-        timers.after(DRAIN_CHECK_MILLIS, () -> checkDrained(grace, begunAt));
+        timers.after(DRAIN_CHECK_MILLIS, () -> checkDrained(grace, startedAt));
     }
 
-    private void finish(long ageMillis) {
-        logger.atInfo().log("event=left requests_cut=%d age_ms=%d", callers.inProgress(), ageMillis);
+    private void finish(long elapsedMillis) {
+        logger.atInfo().log("event=left requests_cut=%d age_ms=%d", callers.inProgress(), elapsedMillis);
         callers.stopListening();
         callers.endAll();
         timers.after(FINAL_WRITE_MILLIS, done::countDown);
--- a/gateway/src/main/java/org/quetzalseam/gateway/ListeningAddresses.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/ListeningAddresses.java
@@ -3,10 +3,10 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where an entry listens, with the ports that it really has.
+ * The addresses that an entry listens on, with the ports in use also where port 0 was configured.
  *
- * @param callers where it takes callers' requests
- * @param ready where it answers whether it is ready
- * @param metrics where it shows its metrics
+ * @param callers the address for callers' requests
+ * @param ready the address for readiness checks
+ * @param metrics the address that serves the metrics
  */
 public record ListeningAddresses(InetSocketAddress callers, InetSocketAddress ready, InetSocketAddress metrics) {}
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
@@ -25,15 +25,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection of a caller. Requests are read whole, then answered one after the other. Used on its event loop only.
+ * A caller's connection. Each request is read completely before it is routed, and requests are answered one after the other.
+ * Used on its event loop only.
  *
- * <p>It keeps reading while an answer is under way: only so does it learn at once that the caller has gone.
+ * <p>It keeps reading while an answer is in progress, because only then does it notice at once that the caller has
+ * disconnected.
  */
 // A write or close that fails is reported through the channel's pipeline, where it is handled.
 @SuppressWarnings("FutureReturnValueIgnored")
 final class CallerConnection extends ChannelInboundHandlerAdapter {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** Requests that may wait behind the one in progress; past that the caller isn't read until one is answered. */
+    /** Pipelined requests that may wait behind the one in progress; at this number reading stops until one is answered. */
     private static final int MAX_PIPELINED = 8;
 
     private final CallerServer server;
@@ -58,7 +60,7 @@
         server.connectionOpened(this);
     }
 
-    /** Notes that bytes have come: from now on a header section is due. */
+    /** Notes that bytes have arrived. On an idle connection the time limit for the header section starts. */
     void bytesArrived() {
         if (!receiving && current == null) {
             receiving = true;
@@ -66,7 +68,7 @@
         }
     }
 
-    /** Closes the connection when it has been quiet for longer than the limits allow. */
+    /** Closes the connection when the caller has sent nothing, or read nothing, for longer than the limits allow. */
     void closeIfTimedOut(long now) {
         Exchange exchange = current;
         if (exchange != null) {
@@ -84,7 +86,7 @@
         }
     }
 
-    /** A caller who doesn't read an answer is quiet too. */
+    /** Closes the connection when the caller has not read a complete answer within the idle limit. */
     private void closeIfAnswerUnread(Exchange exchange, long now) {
         long limit = TimeUnit.MILLISECONDS.toNanos(server.limits().idleMillis());
         if (exchange.ended() && now - exchange.endedAt() > limit) {
@@ -92,13 +94,13 @@
         }
     }
 
-    /** Returns whether nothing is asked or being asked on the connection, nor has been for the given time. */
+    /** Returns whether no request has been in progress, waiting or being received for longer than the given time. */
     boolean idleFor(long nanos, long now) {
         boolean idle = current == null && pipelined.isEmpty() && !receiving && head == null;
         return idle && now - idleSince > nanos;
     }
 
-    /** Returns whether a request has begun to come and isn't whole yet. */
+    /** Returns whether a request has been received in part but not completely. */
     boolean receiving() {
         return receiving;
     }
@@ -145,29 +147,29 @@
 
     private void receiveContent(HttpContent content) {
         HttpRequest request = head;
-        ByteBuf collected = body;
-        if (discarding || request == null || collected == null) {
+        ByteBuf received = body;
+        if (discarding || request == null || received == null) {
             content.release();
             return;
         }
-        if (collected.readableBytes() + content.content().readableBytes()
+        if (received.readableBytes() + content.content().readableBytes()
                 > server.limits().bodyBytes()) {
             content.release();
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is longer than allowed");
             return;
         }
-        collected.writeBytes(content.content());
+        received.writeBytes(content.content());
         content.release();
         if (content instanceof LastHttpContent) {
             head = null;
             body = null;
             receiving = false;
-            requestReceived(request, collected);
+            requestReceived(request, received);
         }
     }
 
-    private void requestReceived(HttpRequest request, ByteBuf collected) {
-        Exchange exchange = new Exchange(channel, request, collected, server.facts(request), this::exchangeEnded);
+    private void requestReceived(HttpRequest request, ByteBuf received) {
+        Exchange exchange = new Exchange(channel, request, received, server.facts(request), this::exchangeEnded);
         if (processStopping) {
             exchange.discard();
             return;
@@ -190,7 +192,7 @@
         server.beginExchange(exchange, openedAt);
     }
 
-    /** Asks for the connection to be closed after the answer in progress, if its head isn't written yet. */
+    /** Closes the connection after the answer in progress, which announces this if its head has not been written yet. */
     void closeAfterCurrent() {
         Exchange exchange = current;
         if (exchange != null) {
@@ -198,10 +200,13 @@
         }
     }
 
-    /** The process ends: what is being answered ends now, what waits behind it or still comes is never begun. */
+    /**
+     * Ends the request in progress because the process ends. Requests that wait behind it or arrive later are discarded
+     * unanswered.
+     */
     void endForShutdown() {
         processStopping = true;
-        // What waits goes quietly: closing for its sake would take the connection from the answer before it.
+        // Waiting requests are discarded without closing the connection, because the answer in progress still needs it.
         dropPipelined();
         Exchange exchange = current;
         if (exchange == null) {
@@ -227,7 +232,7 @@
             channel.close();
             return;
         }
-        // On a turn of its own, as the answer may be given from within the arrival of the next request.
+        // Runs as a task of its own, because the answer may be given while the next request is being received.
         channel.eventLoop().execute(this::beginNext);
     }
 
@@ -264,7 +269,8 @@
         }
         discarding = true;
         if (current != null) {
-            // The answer in progress goes first; the caller learns of this fault by the connection's end.
+            // The answer in progress is completed first; the closed connection then tells the caller that this request
+            // failed.
             current.closeAfterAnswer();
             return;
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerLimitsSupplier.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerLimitsSupplier.java
@@ -2,9 +2,9 @@
 
 import org.quetzalseam.core.routing.CallerLimits;
 
-/** The limits in force for callers; read at each use, so that a change holds for open connections too. */
+/** Supplies the limits in force for callers. It is called at each use, so that a change applies to open connections too. */
 @FunctionalInterface
 public interface CallerLimitsSupplier {
-    /** Returns the limits in force now. */
+    /** Returns the limits currently in force. */
     CallerLimits current();
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerServer.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerServer.java
@@ -26,24 +26,27 @@
 import org.quetzalseam.gateway.protocol.RequestFacts;
 import org.quetzalseam.gateway.runtime.Timers;
 
-/** Takes callers' connections on one address. Used on its event loop only, but for {@link #start}. */
+/** Accepts callers' connections on one address. Used on its event loop only, except for {@link #start}. */
 public final class CallerServer {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** How often connections are checked for time limits: a tenth of the shortest limit seen in use. */
+    /** How often connections are checked for time limits, in milliseconds: a tenth of the shortest limit seen in use. */
     private static final long TIME_LIMIT_CHECK_MILLIS = 500;
-    /** Connections that may wait to be accepted: a burst of callers while the loop is busy for some hundred ms. */
+    /** Connections that may wait to be accepted: enough for a burst of callers while the loop is busy for some hundred ms. */
     private static final int ACCEPT_BACKLOG = 1024;
-    /** Bytes queued for a slow caller above which its endpoint isn't read, and below which it is read again. */
+    /** Bytes queued for a slow caller above which reading from its endpoint stops, and below which it resumes. */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1024, 128 * 1024);
-    /** Largest piece of a body read at once, in bytes. */
+    /** Largest part of a body that is decoded at once, in bytes. */
     private static final int MAX_CHUNK_BYTES = 16 * 1024;
-    /** Longest first line, in bytes: what common clients send. */
+    /** Longest request line, in bytes: long enough for what common clients send. */
     private static final int MAX_FIRST_LINE_BYTES = 8 * 1024;
-    /** Longest declared body that is taken at once while many are being read, in bytes. */
+    /** Longest declared body that is accepted however many requests are in progress, in bytes. */
     private static final long LARGE_BODY_BYTES = 1024 * 1024;
-    /** Requests under way above which large bodies are refused, to bound the memory they take. */
+    /** Number of requests in progress from which large bodies are refused, to bound the memory that they use. */
     private static final int BUSY_REQUESTS = 200;
-    /** Rest after which a leaving entry closes a connection, in nanoseconds: many round trips of a caller in the same region. */
+    /**
+     * Idle time after which a draining entry closes a connection, in nanoseconds: many round trips of a caller in the same
+     * region.
+     */
     private static final long IDLE_WHILE_DRAINING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final EventLoop loop;
@@ -57,12 +60,12 @@
     private int inProgress;
 
     /**
-     * Creates a server; {@link #start} opens it.
+     * Creates a server that listens nowhere until {@link #start} is called.
      *
      * @param loop the event loop that everything runs on
-     * @param protocol how requests are written
-     * @param limits the limits in force
-     * @param router takes each request that is whole
+     * @param protocol the protocol that callers use
+     * @param limits supplies the limits in force
+     * @param router receives each request once it is complete
      */
     public CallerServer(EventLoop loop, Protocol protocol, CallerLimitsSupplier limits, Consumer<Exchange> router) {
         this.loop = loop;
@@ -71,7 +74,7 @@
         this.router = router;
     }
 
-    /** Listens on the address. Blocks until it does, and returns the address with its real port. */
+    /** Starts to listen on the address. Blocks until the socket is bound, and returns the address with the bound port. */
     public InetSocketAddress start(InetSocketAddress address) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop, loop)
@@ -170,7 +173,7 @@
         return inProgress;
     }
 
-    /** Returns how many requests are being sent by their callers, not whole yet. */
+    /** Returns how many requests have been received only in part. */
     public int arriving() {
         return (int) connections.stream().filter(CallerConnection::receiving).count();
     }
@@ -180,7 +183,7 @@
         return connections.size();
     }
 
-    /** Announces on every answer from now on that its connection closes. */
+    /** Starts to drain: each connection closes after its next answer, which announces this in its head. */
     public void startDraining() {
         if (draining) {
             return;
@@ -191,8 +194,8 @@
     }
 
     /**
-     * Closes connections on which nothing has been asked for a while, so that their callers connect elsewhere. One that has just
-     * been opened or used stays, as its next request may be on its way.
+     * Closes connections that have been idle for a while, so that their callers connect to other entries. A connection that was
+     * just opened or used stays open, because its next request may already be on the way.
      */
     public void closeIdle() {
         long now = System.nanoTime();
@@ -203,7 +206,7 @@
         }
     }
 
-    /** Ends what is still being answered, as the process ends. */
+    /** Ends all requests that are still in progress because the process ends. */
     public void endAll() {
         for (CallerConnection connection : List.copyOf(connections)) {
             try {
@@ -215,7 +218,7 @@
         }
     }
 
-    /** Takes no more connections. */
+    /** Stops accepting connections. */
     public void stopListening() {
         Channel open = listener;
         if (open != null) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/Exchange.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/Exchange.java
@@ -24,10 +24,10 @@
 import org.quetzalseam.gateway.protocol.RequestFacts;
 
 /**
- * One request of a caller and the answer to it. Used on the event loop only.
+ * A request of a caller and the answer to it. Used on the event loop only.
  *
- * <p>An answer is given whole, or begun, continued and ended. One that can't be ended is cut: its connection closes before
- * the end of the body, so that it never looks complete.
+ * <p>An answer is sent either at once or in parts: head, body parts, end. An answer that cannot be completed is aborted: its
+ * connection closes before the end of the body, so that the answer never looks complete.
  */
 // A write or close that fails is reported through the channel's pipeline, where it is handled.
 @SuppressWarnings("FutureReturnValueIgnored")
@@ -65,57 +65,57 @@
         return request;
     }
 
-    /** Returns a view of the whole body; the taker releases it. */
+    /** Returns a view of the complete body, which the caller of this method releases. */
     public ByteBuf body() {
         return body.retainedDuplicate();
     }
 
-    /** Returns what the request says of itself. */
+    /** Returns the facts that the protocol reads from the request's headers. */
     public RequestFacts facts() {
         return facts;
     }
 
-    /** Returns when the request was whole, in monotonic nanoseconds. */
+    /** Returns when the request was complete, in monotonic nanoseconds. */
     public long arrivedAt() {
         return arrivedAt;
     }
 
-    /** Returns how long ago the request was whole, in milliseconds. */
+    /** Returns how long ago the request was complete, in milliseconds. */
     public long ageMillis() {
         return (System.nanoTime() - arrivedAt) / 1_000_000;
     }
 
-    /** Returns whether the answer is over, or the caller gone. */
+    /** Returns whether the answer has ended or the caller has disconnected. */
     public boolean ended() {
         return ended;
     }
 
-    /** Returns when the answer was over, in monotonic nanoseconds; the caller may still be reading it. */
+    /** Returns when the answer ended, in monotonic nanoseconds; the caller may still be reading it. */
     long endedAt() {
         return endedAt;
     }
 
-    /** Returns whether the beginning of an answer has been given. */
+    /** Returns whether an answer has begun. */
     public boolean begun() {
         return begun;
     }
 
-    /** Sets what is called once if the caller leaves before the end of the answer. */
+    /** Sets the callback that runs once if the caller disconnects before the answer ends. */
     public void onCallerDisconnected(Runnable call) {
         onCallerDisconnected = call;
     }
 
-    /** Sets what is called whenever the caller has taken what was written. */
+    /** Sets the callback that runs whenever the connection becomes writable again because the caller has read enough. */
     public void onWritable(Runnable call) {
         onWritable = call;
     }
 
-    /** Sets what is called if the process ends before the answer does; it has to end the answer at once. */
+    /** Sets the callback that runs if the process ends before the answer does; it must end the answer at once. */
     public void onShutdown(Runnable call) {
         onShutdown = call;
     }
 
-    /** Returns whether the caller takes what is written as fast as it comes. */
+    /** Returns whether the caller reads as fast as the answer is written. */
     public boolean writable() {
         return channel.isWritable();
     }
@@ -144,28 +144,28 @@
         finish();
     }
 
-    /** Gives a whole answer with an endpoint's status and headers. Takes the body over. */
-    public void answer(HttpResponse head, ByteBuf whole) {
+    /** Sends a complete answer with an endpoint's status and headers. Takes ownership of the body. */
+    public void answer(HttpResponse head, ByteBuf content) {
         if (ended) {
-            whole.release();
+            content.release();
             return;
         }
-        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), whole);
+        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), content);
         answer.headers().set(head.headers());
         HopByHopHeaders.remove(answer.headers());
-        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, whole.readableBytes());
+        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
         writeComplete(answer);
     }
 
-    /** Gives an answer of this process: a status with a short text. */
-    public void answer(HttpResponseStatus status, String text, HttpHeaders more) {
+    /** Sends an answer of this process: a status with a short text and additional headers. */
+    public void answer(HttpResponseStatus status, String text, HttpHeaders extraHeaders) {
         if (ended) {
             return;
         }
         ByteBuf content = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
         DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         answer.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
-        answer.headers().add(more);
+        answer.headers().add(extraHeaders);
         answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
         writeComplete(answer);
     }
@@ -190,11 +190,13 @@
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
-        // Until it is written the request is under way: neither the process nor the next request may come between.
+        // The request stays in progress until its answer is written, so that neither the end of the process nor the
+        // next
+        // request interferes.
         written.addListener(done -> finish());
     }
 
-    /** Begins an answer whose body follows in pieces. */
+    /** Begins an answer whose body follows in parts. */
     public void begin(HttpResponse head) {
         if (ended) {
             return;
@@ -214,16 +216,16 @@
         channel.write(answer);
     }
 
-    /** Gives a piece of the body and takes it over. */
-    public void writeBody(ByteBuf piece) {
+    /** Sends a part of the body. Takes ownership of the buffer. */
+    public void writeBody(ByteBuf part) {
         if (ended) {
-            piece.release();
+            part.release();
             return;
         }
-        channel.writeAndFlush(new DefaultHttpContent(piece));
+        channel.writeAndFlush(new DefaultHttpContent(part));
     }
 
-    /** Ends the body: the answer is complete. */
+    /** Ends the body and so completes the answer. */
     public void end() {
         if (ended) {
             return;
@@ -233,7 +235,11 @@
         finishWhenWritten(written, closing);
     }
 
-    /** Breaks off an answer that was begun. */
+    /**
+     * Aborts the answer by closing the connection.
+     *
+     * @param why the reason, for the log
+     */
     public void abort(String why) {
         if (ended) {
             return;
@@ -241,14 +247,14 @@
         logger.atInfo().log("event=answer-cut request=%s age_ms=%d why=%s", facts.id(), ageMillis(), why);
         markEnded();
         if (begun && !chunked && channel.isActive()) {
-            // Only the connection's end ends this body: a reset can't be taken for it.
+            // The end of the connection marks the end of this body. A reset cannot be mistaken for it.
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
         channel.close();
         finish();
     }
 
-    /** Drops a request that has never been begun. */
+    /** Discards a request that was never routed. */
     void discard() {
         markEnded();
         body.release();
@@ -259,7 +265,7 @@
         endedAt = System.nanoTime();
     }
 
-    /** The process ends: the caller gets the truest answer that there is by now. */
+    /** Ends the answer because the process ends: the shutdown callback may still send one; otherwise it is aborted. */
     void endForShutdown() {
         if (ended) {
             logger.atWarning().log(
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/HopByHopHeaders.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/HopByHopHeaders.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Headers that concern one connection only and aren't passed on. Stateless. */
+/** Hop-by-hop headers, which apply to a single connection and are not forwarded. Stateless. */
 public final class HopByHopHeaders {
     private static final List<CharSequence> HOP_BY_HOP = List.of(
             HttpHeaderNames.CONNECTION,
@@ -19,12 +19,15 @@
             HttpHeaderNames.EXPECT,
             "Keep-Alive",
             "Proxy-Connection");
-    /** What a {@code Connection} header can't take out: without it a request would reach the wrong place. */
+    /** Headers that a {@code Connection} header cannot remove, because without them a request would be misrouted. */
     private static final Set<String> NEVER_REMOVED = Set.of("host", "content-length", "content-type");
 
     private HopByHopHeaders() {}
 
-    /** Removes them, and those that the {@code Connection} header names. */
+    /**
+     * Removes all hop-by-hop headers and those that the {@code Connection} header names, except headers that are needed to
+     * route or read the message and headers that begin with {@code x-}.
+     */
     public static void remove(HttpHeaders headers) {
         for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : value.split(",", -1)) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/package-info.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/package-info.java
@@ -1,4 +1,4 @@
-/** The caller as a peer: connections, requests and answers. */
+/** The callers' side of the entry: connections, requests and answers. */
 @NullMarked
 package org.quetzalseam.gateway.caller;
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Directory.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Directory.java
@@ -15,10 +15,10 @@
 /**
  * The endpoints that this entry may use, by service and stage. Used on the event loop only.
  *
- * <p>When a registration and an endpoint's own report name different starts, the later one holds: a start that anybody has
- * seen has been, so the earlier life is over. What the earlier life's registration says beside its start is taken to hold for
- * the next life until that is registered, its leaving included: an outage of the store then takes no endpoint away, and one
- * that was leaving gets no work before the store says that it takes any.
+ * <p>When a registration and the endpoint's own report state different start times, the later one applies: a start that was
+ * observed has happened, so the previous incarnation has ended. Until the next incarnation is registered, the rest of the
+ * previous registration is assumed to hold for it, including that the endpoint is draining. An outage of the store therefore
+ * removes no endpoint, and an endpoint that was draining gets no work before the store states that it accepts work.
  */
 public final class Directory {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -33,12 +33,12 @@
         this.connector = connector;
     }
 
-    /** Returns whether the endpoints have been learnt since the start of the process. */
+    /** Returns whether the endpoints have been listed since the start of the process. */
     public boolean loaded() {
         return loaded;
     }
 
-    /** Takes the members as they are now. */
+    /** Replaces the endpoints by those of the given registrations. */
     public void update(Collection<Member> members) {
         loaded = true;
         Set<String> listed = new HashSet<>();
@@ -54,13 +54,13 @@
     }
 
     private void apply(Member member) {
-        Endpoint known = endpoints.get(member.id());
-        if (known == null) {
+        Endpoint existing = endpoints.get(member.id());
+        if (existing == null) {
             endpoints.put(member.id(), create(member));
-        } else if (known.member().incarnation().precedes(member.incarnation())) {
-            replaceRestarted(known, member, "registration");
-        } else if (!member.incarnation().precedes(known.member().incarnation())) {
-            updateMember(known, member);
+        } else if (existing.member().incarnation().precedes(member.incarnation())) {
+            replaceRestarted(existing, member, "registration");
+        } else if (!member.incarnation().precedes(existing.member().incarnation())) {
+            updateMember(existing, member);
         }
     }
 
@@ -73,7 +73,12 @@
         endpoint.member(member);
     }
 
-    /** Takes an endpoint's own word that it has started again since the life that is known here. */
+    /**
+     * Records that an endpoint has restarted, according to its own report.
+     *
+     * @param endpoint the incarnation that this entry knows
+     * @param startMillis the reported start time; one that is not later than the known one is ignored
+     */
     public void recordRestart(Endpoint endpoint, long startMillis) {
         Member member = endpoint.member();
         if (endpoints.get(member.id()) == endpoint && startMillis > member.startMillis()) {
@@ -81,17 +86,17 @@
         }
     }
 
-    private void replaceRestarted(Endpoint before, Member member, String source) {
+    private void replaceRestarted(Endpoint previous, Member member, String source) {
         logger.atInfo().log(
                 "event=endpoint-started-again endpoint=%s service=%s start_ms=%d before_ms=%d source=%s outstanding=%d",
                 member.id(),
                 member.service(),
                 member.startMillis(),
-                before.member().startMillis(),
+                previous.member().startMillis(),
                 source,
-                before.outstanding());
+                previous.outstanding());
         endpoints.put(member.id(), create(member));
-        before.endIncarnation();
+        previous.endIncarnation();
     }
 
     private Endpoint create(Member member) {
@@ -103,30 +108,30 @@
         return endpoint;
     }
 
-    /** Sets how many connections this entry may have open to each endpoint of a service. */
-    public void maxConnections(String service, int most) {
-        maxConnections.put(service, most);
-        all(service).forEach(endpoint -> endpoint.maxConnections(most));
+    /** Sets the maximum number of connections that this entry may have open to each endpoint of a service. */
+    public void maxConnections(String service, int maximum) {
+        maxConnections.put(service, maximum);
+        all(service).forEach(endpoint -> endpoint.maxConnections(maximum));
     }
 
     private void remove(String id) {
-        Endpoint gone = endpoints.remove(id);
-        if (gone != null) {
+        Endpoint removed = endpoints.remove(id);
+        if (removed != null) {
             logger.atInfo().log(
                     "event=endpoint-gone endpoint=%s service=%s",
-                    id, gone.member().service());
-            gone.close();
+                    id, removed.member().service());
+            removed.close();
         }
     }
 
-    /** Returns whether the endpoint may still take new work. */
+    /** Returns whether the endpoint still accepts new work. */
     public boolean usable(Endpoint endpoint) {
         return !endpoint.member().draining()
                 && !endpoint.misdirected()
                 && endpoints.get(endpoint.member().id()) == endpoint;
     }
 
-    /** Returns a service's endpoints of a stage that take new work. */
+    /** Returns a service's endpoints of a stage that accept new work. */
     public List<Endpoint> usable(String service, Stage stage) {
         List<Endpoint> found = new ArrayList<>();
         for (Endpoint endpoint : endpoints.values()) {
@@ -141,14 +146,14 @@
         return found;
     }
 
-    /** Returns all endpoints of a service, those that leave included. */
+    /** Returns all endpoints of a service, including those that are draining. */
     public List<Endpoint> all(String service) {
         return endpoints.values().stream()
                 .filter(endpoint -> endpoint.member().service().equals(service))
                 .toList();
     }
 
-    /** Returns the services that have endpoints with stages. */
+    /** Returns the services whose endpoints have a prefill or decode stage. */
     public Set<String> stagedServices() {
         Set<String> services = new HashSet<>();
         for (Endpoint endpoint : endpoints.values()) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
@@ -28,32 +28,37 @@
 import org.quetzalseam.gateway.runtime.Timers;
 
 /**
- * One life of an endpoint as this entry sees it: kept connections, work under way, and record. Used on the event loop only.
+ * One incarnation of an endpoint as seen by this entry: kept connections, calls in flight and health record. Used on the event
+ * loop only.
  *
- * <p>An endpoint that starts again under its id holds and knows nothing of before, so it gets a new object. Whatever rests on
- * one life (bookings, KV caches, load, record) is kept by this object and ends with it; nothing is sent through the object of
- * a life that is over, as it would reach the next.
+ * <p>An endpoint that restarts under its id has lost all previous state, so it gets a new object. Everything tied to one
+ * incarnation (bookings, KV caches, load, health record) belongs to its object and ends with it. Nothing is sent through the
+ * object of an ended incarnation, because it would reach the next one.
  *
- * <p>Calls that run nothing go over connections of their own, so that a late reply to a request is never taken for theirs.
+ * <p>Control calls, which run no request, use connections of their own, so that a late reply to a request is never mistaken for
+ * a reply to one of them.
  */
 public final class Endpoint {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** How much sooner than the endpoint a kept connection is given up, so that a request doesn't cross its closing. */
+    /**
+     * How much earlier than the endpoint this entry gives up an idle connection, in nanoseconds, so that no request is sent while
+     * the endpoint closes the connection.
+     */
     private static final long IDLE_TIMEOUT_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
-    /** How long an idle connection is used when the endpoint doesn't say how long it keeps it. */
+    /** How long an idle connection is kept when the endpoint does not state its idle timeout, in nanoseconds. */
     private static final long DEFAULT_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000);
-    /** Control calls that wait for a connection; past that an engine is treated as unreachable. */
+    /** Maximum number of control connections; when all are in use, further control calls fail as not connected. */
     private static final int MAX_CONTROL_CONNECTIONS = 8;
 
     /**
-     * How long replies of an ended life that were on their way are still taken, in milliseconds: many round trips inside a
-     * region, and a small part of any time limit.
+     * How long replies that an ended incarnation has already sent are still accepted, in milliseconds: many round trips inside
+     * a region, and a small part of any time limit.
      */
     private static final long FINAL_REPLIES_MILLIS = 300;
 
     /**
-     * How long an endpoint is left out after its address was answered by another, or by it in another stage, in milliseconds:
-     * about what the store takes to list a start or a change of stage.
+     * How long an endpoint is excluded after another endpoint answered at its address, or it answered in another stage, in
+     * milliseconds: about the time that the store takes to list a start or a change of stage.
      */
     private static final long MISDIRECTED_EXCLUSION_MILLIS = 2_000;
 
@@ -84,7 +89,7 @@
         this.address = new InetSocketAddress(member.host(), member.port());
     }
 
-    /** Returns what the platform lists of the endpoint. */
+    /** Returns the endpoint's registration as the platform lists it. */
     public Member member() {
         return member;
     }
@@ -97,14 +102,14 @@
         member = renewed;
     }
 
-    /** Returns whether this life of the endpoint is over: it has started again. */
+    /** Returns whether this incarnation has ended because the endpoint has restarted. */
     public boolean ended() {
         return ended;
     }
 
     /**
-     * Returns whether its registration has just been found not to be true: who answered at its address was another endpoint,
-     * or it is in another stage. All that it is sent would come back.
+     * Returns whether the registration has recently earlierConnection wrong: another endpoint answered at this address, or the endpoint is
+     * in another stage. Every request sent to it would be rejected.
      */
     boolean misdirected() {
         return misdirected
@@ -118,37 +123,37 @@
         }
     }
 
-    /** Returns its record. */
+    /** Returns the health record of this incarnation. */
     public EndpointHealth health() {
         return health;
     }
 
-    /** Returns how it has lately turned work away that it was sent. */
+    /** Returns the record of the endpoint's recent rejections of work sent to it. */
     public RejectionBackoff workRejections() {
         return workRejections;
     }
 
-    /** Returns how generations have lately been turned away elsewhere that were to go on from a KV cache of its. */
+    /** Returns the record of recent rejections by other engines of generations that used a KV cache of this one. */
     public RejectionBackoff cacheRejections() {
         return cacheRejections;
     }
 
-    /** Returns whether other engines are to be used before it. */
+    /** Returns whether other engines are preferred because of recent rejections. */
     public boolean excluded(long now) {
         return workRejections.isExcluded(now) || cacheRejections.isExcluded(now);
     }
 
-    /** Returns how many requests of this entry it has. */
+    /** Returns the number of this entry's requests that the endpoint has not yet answered completely. */
     public int outstanding() {
         return outstanding;
     }
 
-    /** Sets how many connections this entry may have open. */
-    void maxConnections(int most) {
-        maxConnections = most;
+    /** Sets the maximum number of connections that this entry may have open to the endpoint. */
+    void maxConnections(int maximum) {
+        maxConnections = maximum;
     }
 
-    /** Returns whether one more request can be sent without a connection too many. */
+    /** Returns whether one more request can be sent without exceeding the maximum number of connections. */
     public boolean hasFreeConnection() {
         return !idleConnections.isEmpty() || openConnections + openControlConnections < maxConnections;
     }
@@ -156,10 +161,10 @@
     /**
      * Sends a request.
      *
-     * @param request its head
-     * @param body its body; released when it has been written or can't be sent
-     * @param id the id that the reply must bear; where it is empty, any reply is the right one
-     * @param replies takes the reply
+     * @param request the request's head
+     * @param body the request's body; released when it has been written or cannot be sent
+     * @param id the id that the reply must carry; if empty, any reply is accepted
+     * @param replies receives the reply
      */
     public EndpointCall send(HttpRequest request, ByteBuf body, String id, ReplyListener replies) {
         request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
@@ -196,11 +201,12 @@
     }
 
     /**
-     * Sends a call that runs nothing: a booking, a report, an order.
+     * Sends a control call, which runs no request: a booking, a load report or a stage order.
      *
-     * @param request the whole call
-     * @param limitMillis how long the reply may take; a call without one would hold its connection for good
-     * @param replies takes the reply
+     * @param request the complete request
+     * @param limitMillis the time limit for the reply, in milliseconds; without one an unanswered call would hold its connection
+     *     forever
+     * @param replies receives the reply
      */
     public EndpointCall sendControl(FullHttpRequest request, long limitMillis, ReplyListener replies) {
         EndpointCall call = startControl(request, replies);
@@ -209,29 +215,29 @@
     }
 
     /**
-     * Sends a call that runs nothing over the connection that carried an earlier one, or not at all. A connection doesn't
-     * outlive the process at its other end: so the call can only reach the life of the endpoint that answered the earlier.
+     * Sends a control call over the connection that carried an earlier one, or not at all. A connection does not outlive the
+     * process at its other end, so the call can only reach the incarnation of the endpoint that answered the earlier call.
      *
-     * @param earlier a call that has been answered
-     * @param request the whole call
-     * @param limitMillis how long the reply may take
-     * @param replies takes the reply
-     * @return whether the call was sent; otherwise the listener hears nothing
+     * @param earlier a control call that has been answered
+     * @param request the complete request
+     * @param limitMillis the time limit for the reply, in milliseconds
+     * @param replies receives the reply
+     * @return whether the call was sent; if not, the listener is not called
      */
     public boolean sendControlAfter(
             EndpointCall earlier, FullHttpRequest request, long limitMillis, ReplyListener replies) {
-        HttpConnection proved = earlier.connection();
-        if (ended || proved == null || !idleControlConnections.remove(proved)) {
+        HttpConnection earlierConnection = earlier.connection();
+        if (ended || earlierConnection == null || !idleControlConnections.remove(earlierConnection)) {
             request.release();
             return false;
         }
-        idleControlConnections.addFirst(proved);
-        if (pollUsable(idleControlConnections) != proved) {
+        idleControlConnections.addFirst(earlierConnection);
+        if (pollUsable(idleControlConnections) != earlierConnection) {
             request.release();
             return false;
         }
         EndpointCall call = controlCall(request, replies);
-        call.begin(proved);
+        call.begin(earlierConnection);
         timers.after(limitMillis, call::expire);
         return true;
     }
@@ -239,7 +245,7 @@
     private EndpointCall controlCall(FullHttpRequest request, ReplyListener replies) {
         request.headers().set(HttpHeaderNames.HOST, member.address());
         request.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-        // The connection writes head and body apart; a full request as its head would end the message twice.
+        // The connection writes head and body separately; a full request as the head would end the message twice.
         HttpRequest head =
                 new DefaultHttpRequest(request.protocolVersion(), request.method(), request.uri(), request.headers());
         EndpointCall call =
@@ -285,15 +291,15 @@
 
     private void connectionClosed(HttpConnection connection) {
         openConnections--;
-        ended(connection, idleConnections);
+        recordClosed(connection, idleConnections);
     }
 
     private void controlConnectionClosed(HttpConnection connection) {
         openControlConnections--;
-        ended(connection, idleControlConnections);
+        recordClosed(connection, idleControlConnections);
     }
 
-    private void ended(HttpConnection connection, Deque<HttpConnection> kept) {
+    private void recordClosed(HttpConnection connection, Deque<HttpConnection> kept) {
         kept.remove(connection);
         if (connection.closedByPeer()) {
             peerDisconnects.record(System.nanoTime());
@@ -352,13 +358,13 @@
     }
 
     private static void failRestarted(EndpointCall call) {
-        call.failUnsent(new CallFailure(CallFailure.Kind.NOT_CONNECTED, "the endpoint has started again"));
+        call.failUnsent(new CallFailure(CallFailure.Kind.NOT_CONNECTED, "the endpoint has restarted"));
     }
 
     /**
-     * Ends this life. What has been sent may have run, and its answer can only be on its way already; what has not been sent
-     * is told so at once. Callers hear of either after this call has returned. What is under way on a connection that was
-     * opened after the life's end had shown is with the next life, and goes on.
+     * Ends this incarnation. Calls that have been sent may have run; their replies are accepted for a short time, because they
+     * can only be in transit already. Calls that have not been sent fail as soon as this method has returned. Calls on a
+     * connection that was opened after the endpoint had disconnected may be with the next incarnation, and continue.
      */
     void endIncarnation() {
         ended = true;
@@ -379,7 +385,7 @@
         lost.forEach(EndpointCall::failRestarted);
     }
 
-    /** Closes idle connections; what is under way goes on. */
+    /** Closes idle connections; calls in flight continue. */
     void close() {
         List.copyOf(idleConnections).forEach(HttpConnection::abort);
         List.copyOf(idleControlConnections).forEach(HttpConnection::abort);
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/EndpointCall.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/EndpointCall.java
@@ -9,7 +9,7 @@
 import org.quetzalseam.gateway.http.HttpConnection;
 import org.quetzalseam.gateway.http.ReplyListener;
 
-/** One call to an endpoint, from the wait for a connection to the end of the reply. Used on the event loop only. */
+/** A call to an endpoint, from waiting for a connection to the end of the reply. Used on the event loop only. */
 public final class EndpointCall implements ReplyListener {
     private final HttpRequest request;
     private final ByteBuf body;
@@ -35,7 +35,7 @@
         this.onEnd = onEnd;
     }
 
-    /** Starts on a connection. Returns false when the call was given up meanwhile: the connection stays unused. */
+    /** Sends the request over a connection. Returns false, leaving the connection unused, if the call has been cancelled. */
     boolean begin(HttpConnection opened) {
         if (ended) {
             return false;
@@ -45,6 +45,7 @@
         return true;
     }
 
+    /** Fails the call, which has not been sent. Does nothing if the call has ended. */
     void failUnsent(CallFailure failure) {
         if (!ended) {
             body.release();
@@ -52,29 +53,29 @@
         }
     }
 
-    /** Returns whether the request has been handed to a connection. */
+    /** Returns whether the request has been given to a connection. */
     public boolean sent() {
         return connection != null;
     }
 
-    /** Returns the connection that it went over, or null if it hasn't been sent. */
+    /** Returns the connection that carries the call, or null if it has not been sent. */
     @Nullable
     HttpConnection connection() {
         return connection;
     }
 
-    /** Returns when its connection was opened, in monotonic nanoseconds; 0 when it hasn't been sent. */
+    /** Returns when the call's connection was opened, in monotonic nanoseconds; 0 if the call has not been sent. */
     long connectedAt() {
         HttpConnection used = connection;
         return used == null ? 0 : used.openedAt();
     }
 
-    /** Returns whether the reply is still to come. */
+    /** Returns whether the call is waiting for its reply or receiving it. */
     public boolean active() {
         return !ended;
     }
 
-    /** Gives the call up; the endpoint learns it from the closed connection. Harmless when the call has ended. */
+    /** Cancels the call and closes its connection, which informs the endpoint. Does nothing if the call has ended. */
     public void cancel() {
         if (ended) {
             return;
@@ -88,14 +89,14 @@
         }
     }
 
-    /** Gives the call up because its time is over; unlike {@link #cancel}, this is told to who waits for the reply. */
+    /** Cancels the call because its time limit has passed. Unlike {@link #cancel}, this notifies the reply listener. */
     void expire() {
         cancelAndFail(new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in time"));
     }
 
-    /** Gives the call up because the life of its endpoint that it was sent to is over: it may have run. */
+    /** Cancels the call and notifies the reply listener because the endpoint has restarted; the request may have run. */
     void failRestarted() {
-        cancelAndFail(new CallFailure(CallFailure.Kind.CONNECTION_LOST, "the endpoint has started again"));
+        cancelAndFail(new CallFailure(CallFailure.Kind.CONNECTION_LOST, "the endpoint has restarted"));
     }
 
     private void cancelAndFail(CallFailure failure) {
@@ -105,11 +106,11 @@
         }
     }
 
-    /** Stops or goes on reading the reply. */
-    public void setAutoRead(boolean wanted) {
+    /** Pauses or resumes reading of the reply. */
+    public void setAutoRead(boolean autoRead) {
         HttpConnection used = connection;
         if (used != null && !ended) {
-            used.setAutoRead(wanted);
+            used.setAutoRead(autoRead);
         }
     }
 
@@ -125,8 +126,8 @@
     }
 
     @Override
-    public void body(ByteBuf piece) {
-        replies.body(piece);
+    public void body(ByteBuf part) {
+        replies.body(part);
     }
 
     @Override
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/package-info.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/package-info.java
@@ -1,4 +1,4 @@
-/** The endpoint as a peer: its pool of connections, its record, and calls to it. */
+/** The endpoints' side of the entry: connection pools, health records and calls. */
 @NullMarked
 package org.quetzalseam.gateway.endpoint;
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/package-info.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/package-info.java
@@ -1,4 +1,4 @@
-/** The streaming entry: one event loop, no thread for a request. */
+/** The streaming entry: all requests are served on one event loop, without a thread per request. */
 @NullMarked
 package org.quetzalseam.gateway;
 
