--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
@@ -94,12 +94,12 @@
         return member;
     }
 
-    void member(Member renewed) {
-        if (renewed.stage() != member.stage()) {
+    void member(Member updated) {
+        if (updated.stage() != member.stage()) {
             workRejections.recordAcceptance();
         }
-        misdirected = misdirected && renewed.equals(member);
-        member = renewed;
+        misdirected = misdirected && updated.equals(member);
+        member = updated;
     }
 
     /** Returns whether this incarnation has ended because the endpoint has restarted. */
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Returns whether the registration has recently earlierConnection wrong: another endpoint answered at this address, or the endpoint is
+     * Returns whether the registration has recently proved wrong: another endpoint answered at this address, or the endpoint is
      * in another stage. Every request sent to it would be rejected.
      */
     boolean misdirected() {
@@ -176,9 +176,9 @@
             timers.soon(() -> failRestarted(call));
             return call;
         }
-        HttpConnection kept = pollUsable(idleConnections);
-        if (kept != null) {
-            call.begin(kept);
+        HttpConnection reused = pollUsable(idleConnections);
+        if (reused != null) {
+            call.begin(reused);
             return call;
         }
         openConnections++;
@@ -260,9 +260,9 @@
             failRestarted(call);
             return call;
         }
-        HttpConnection kept = pollUsable(idleControlConnections);
-        if (kept != null) {
-            call.begin(kept);
+        HttpConnection reused = pollUsable(idleControlConnections);
+        if (reused != null) {
+            call.begin(reused);
             return call;
         }
         if (openControlConnections >= MAX_CONTROL_CONNECTIONS) {
@@ -299,8 +299,8 @@
         recordClosed(connection, idleControlConnections);
     }
 
-    private void recordClosed(HttpConnection connection, Deque<HttpConnection> kept) {
-        kept.remove(connection);
+    private void recordClosed(HttpConnection connection, Deque<HttpConnection> idle) {
+        idle.remove(connection);
         if (connection.closedByPeer()) {
             peerDisconnects.record(System.nanoTime());
         }
@@ -320,24 +320,24 @@
         keepIdle(connection, idleControlConnections);
     }
 
-    private void keepIdle(HttpConnection connection, Deque<HttpConnection> kept) {
+    private void keepIdle(HttpConnection connection, Deque<HttpConnection> idle) {
         if (ended) {
             connection.abort();
         } else {
-            kept.addFirst(connection);
+            idle.addFirst(connection);
         }
     }
 
     private @Nullable HttpConnection pollUsable(Deque<HttpConnection> connections) {
         long now = System.nanoTime();
-        long longest = idleLimit.atTime(now);
+        long limitNanos = idleLimit.atTime(now);
         while (true) {
             HttpConnection connection = connections.pollFirst();
             if (connection == null) {
                 return null;
             }
-            long rest = now - connection.idleSince();
-            if (connection.open() && rest < Math.min(longest, maxIdleNanos(connection))) {
+            long idleNanos = now - connection.idleSince();
+            if (connection.open() && idleNanos < Math.min(limitNanos, maxIdleNanos(connection))) {
                 return connection;
             }
             connection.abort();
@@ -345,11 +345,11 @@
     }
 
     private static long maxIdleNanos(HttpConnection connection) {
-        long stated = connection.peerIdleTimeoutNanos();
-        if (stated == Long.MAX_VALUE) {
+        long timeoutNanos = connection.peerIdleTimeoutNanos();
+        if (timeoutNanos == Long.MAX_VALUE) {
             return DEFAULT_IDLE_NANOS;
         }
-        return Math.max(stated - IDLE_TIMEOUT_MARGIN_NANOS, stated / 2);
+        return Math.max(timeoutNanos - IDLE_TIMEOUT_MARGIN_NANOS, timeoutNanos / 2);
     }
 
     private void requestEnded(EndpointCall call) {
@@ -393,7 +393,7 @@
         idleControlConnections.clear();
     }
 
-    /** Returns an empty body. */
+    /** Returns an empty request body. */
     public static ByteBuf emptyBody() {
         return Unpooled.EMPTY_BUFFER;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/CallFailure.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/CallFailure.java
@@ -1,7 +1,7 @@
 package org.quetzalseam.gateway.http;
 
 /**
- * Why a call got no whole reply. Immutable.
+ * Why a call got no complete reply. Immutable.
  *
  * @param kind what went wrong
  * @param detail a short text for the log
@@ -11,17 +11,17 @@
     public enum Kind {
         /** No connection could be opened: nothing was sent. */
         NOT_CONNECTED,
-        /** The connection ended or was reset before the reply was whole. */
+        /** The connection was closed or reset before the reply was complete. */
         CONNECTION_LOST,
-        /** What came is no reply in the protocol, or not one that can be passed on. */
+        /** The reply violates the protocol or cannot be forwarded. */
         MALFORMED,
-        /** No reply in the time allowed. */
+        /** The reply did not arrive within the time limit. */
         TIMED_OUT,
-        /** The caller of this call gave it up. */
+        /** The call was cancelled by the code that made it. */
         CANCELLED
     }
 
-    /** Returns whether the request can't have reached the endpoint. */
+    /** Returns whether the request cannot have reached the endpoint. */
     public boolean nothingSent() {
         return kind == Kind.NOT_CONNECTED;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/Connector.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/Connector.java
@@ -14,11 +14,14 @@
 
 /** Opens HTTP connections on one event loop. */
 public final class Connector {
-    /** How long a connection may take to open: some hundred round trips inside a region, and far below any objective. */
+    /**
+     * How long a connection may take to open, in milliseconds: some hundred round trips inside a region, and far below any
+     * latency objective.
+     */
     private static final int CONNECT_TIMEOUT_MILLIS = 400;
-    /** Longest first line and longest header section of a reply, in bytes. */
+    /** Longest status line and longest header section of a reply, in bytes. */
     private static final int MAX_HEAD_BYTES = 64 * 1024;
-    /** Largest piece of a body handed on at once, in bytes. */
+    /** Largest part of a body that is decoded at once, in bytes. */
     private static final int MAX_CHUNK_BYTES = 16 * 1024;
 
     private static final HttpDecoderConfig DECODER_CONFIG = new HttpDecoderConfig()
@@ -29,7 +32,12 @@
     private final EventLoop loop;
     private final String idHeader;
 
-    /** Creates a connector; replies repeat the request's id in the given header. */
+    /**
+     * Creates a connector.
+     *
+     * @param loop the event loop that all connections run on
+     * @param idHeader the header in which replies repeat the request's id
+     */
     public Connector(EventLoop loop, String idHeader) {
         this.loop = loop;
         this.idHeader = idHeader;
@@ -40,28 +48,28 @@
         return loop;
     }
 
-    /** What becomes of an attempt to connect. */
+    /** Receives the outcome of an attempt to connect. */
     public interface ConnectListener {
-        /** The connection is open. */
+        /** Called when the connection is open. */
         void connected(HttpConnection connection);
 
-        /** No connection could be opened. */
+        /** Called when no connection could be opened. */
         void failed(CallFailure failure);
     }
 
     /**
      * Opens a connection.
      *
-     * @param address where to
+     * @param address the address to connect to
      * @param onIdle called when the connection has carried an exchange and can carry another
-     * @param onClosed called when an opened connection has ended
-     * @param opened takes the outcome
+     * @param onClosed called when an opened connection has closed
+     * @param listener receives the outcome
      */
     public void connect(
             InetSocketAddress address,
             Consumer<HttpConnection> onIdle,
             Consumer<HttpConnection> onClosed,
-            ConnectListener opened) {
+            ConnectListener listener) {
         HttpConnection connection = new HttpConnection(idHeader, onIdle, onClosed);
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
@@ -80,9 +88,9 @@
         ChannelFuture connecting = bootstrap.connect(address);
         connecting.addListener(done -> {
             if (done.isSuccess()) {
-                opened.connected(connection);
+                listener.connected(connection);
             } else {
-                opened.failed(new CallFailure(CallFailure.Kind.NOT_CONNECTED, String.valueOf(done.cause())));
+                listener.failed(new CallFailure(CallFailure.Kind.NOT_CONNECTED, String.valueOf(done.cause())));
             }
         });
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/GatewayException.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/GatewayException.java
@@ -1,12 +1,12 @@
 package org.quetzalseam.gateway.http;
 
-/** A fault that keeps an entry from working at all. */
+/** Thrown when a fault keeps the entry from starting or working. */
 public final class GatewayException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     /** What went wrong. */
     public enum Code {
-        /** An address of the settings is in use, or not one of this machine's. */
+        /** An address in the settings is in use or does not belong to this machine. */
         ADDRESS_UNUSABLE
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/HttpConnection.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/HttpConnection.java
@@ -22,10 +22,11 @@
 import org.quetzalseam.gateway.http.CallFailure.Kind;
 
 /**
- * A client's connection that carries one exchange at a time. Used on its event loop only.
+ * A client connection that carries one exchange at a time. Used on its event loop only.
  *
- * <p>A reply counts only for the request whose id it bears: a reply to another request, which a faulty endpoint may send
- * late or twice, is skipped. Bytes that come while nothing is asked end the connection, as they belong to no request.
+ * <p>A reply is accepted only for the request whose id it carries. A reply to another request, which a faulty endpoint may send
+ * late or twice, is skipped. Data that arrives while no exchange is in progress closes the connection, because it belongs to no
+ * request.
  */
 // A write or close that fails is reported through the channel's pipeline, where it is handled.
 @SuppressWarnings("FutureReturnValueIgnored")
@@ -54,9 +55,9 @@
     /**
      * Creates a handler for a new channel.
      *
-     * @param idHeader the header that a reply repeats the request's id in
+     * @param idHeader the header in which a reply repeats the request's id
      * @param onIdle called when the connection can carry another exchange
-     * @param onClosed called once, when the connection has ended
+     * @param onClosed called once, when the connection has closed
      */
     HttpConnection(String idHeader, Consumer<HttpConnection> onIdle, Consumer<HttpConnection> onClosed) {
         this.idHeader = idHeader;
@@ -67,7 +68,7 @@
     private Channel channel() {
         Channel open = channel;
         if (open == null) {
-            throw new IllegalStateException("the connection isn't registered yet");
+            throw new IllegalStateException("the handler has not been added to a channel yet");
         }
         return open;
     }
@@ -80,10 +81,10 @@
     /**
      * Sends a request.
      *
-     * @param request its head
-     * @param body its body, which is released when it has been written
-     * @param id the id that the reply must bear, or null where any reply is the right one
-     * @param replies takes the reply
+     * @param request the request's head
+     * @param body the request's body, which is released when it has been written
+     * @param id the id that the reply must carry, or null if any reply is accepted
+     * @param replies receives the reply
      */
     public void exchange(HttpRequest request, ByteBuf body, @Nullable String id, ReplyListener replies) {
         if (listener != null) {
@@ -101,22 +102,25 @@
         written = open.writeAndFlush(new DefaultLastHttpContent(body));
     }
 
-    /** Returns whether it ended before any answer to a request that came after a rest: its other side had forgotten it. */
+    /**
+     * Returns whether the connection was lost before the head of the reply to a request that was sent after an idle time, because
+     * the other side no longer kept the connection.
+     */
     public boolean lostAfterIdle() {
         return lostAfterIdle;
     }
 
-    /** Returns whether it was the other side that ended it. */
+    /** Returns whether the other side closed or reset the connection. */
     public boolean closedByPeer() {
         return closedByPeer;
     }
 
-    /** Returns when it was opened, in monotonic nanoseconds. */
+    /** Returns when the connection was opened, in monotonic nanoseconds. */
     public long openedAt() {
         return openedAt;
     }
 
-    /** Returns how long it had rested before the newest request, in nanoseconds. */
+    /** Returns how long the connection was idle before the latest request, in nanoseconds; 0 for its first request. */
     public long idleNanosBeforeRequest() {
         return idleNanosBeforeRequest;
     }
@@ -126,7 +130,10 @@
         return idleSince;
     }
 
-    /** Returns how long the other side keeps the connection when it is idle, as far as it has said, in nanoseconds. */
+    /**
+     * Returns how long the other side keeps an idle connection, in nanoseconds, or {@link Long#MAX_VALUE} if it has not stated
+     * it.
+     */
     public long peerIdleTimeoutNanos() {
         return peerIdleTimeoutNanos;
     }
@@ -136,12 +143,12 @@
         return channel().isActive();
     }
 
-    /** Stops or goes on reading, so that a slow reader of the reply slows its sender. */
-    public void setAutoRead(boolean wanted) {
-        channel().config().setAutoRead(wanted);
+    /** Pauses or resumes reading, so that a slow reader of the reply slows down its sender. */
+    public void setAutoRead(boolean autoRead) {
+        channel().config().setAutoRead(autoRead);
     }
 
-    /** Gives up the exchange, if there is one, and closes the connection. The listener hears nothing more. */
+    /** Abandons the exchange, if there is one, and closes the connection. The listener is not called any more. */
     public void abort() {
         listener = null;
         reusable = false;
@@ -202,13 +209,13 @@
         if (expected == null) {
             return false;
         }
-        String got = response.headers().get(idHeader);
-        if (expected.equals(got)) {
+        String actual = response.headers().get(idHeader);
+        if (expected.equals(actual)) {
             return false;
         }
         logger.atInfo().log(
                 "event=reply-skipped peer=%s request=%s reply_to=%s status=%d",
-                peer(), expected, got, response.status().code());
+                peer(), expected, actual, response.status().code());
         return true;
     }
 
@@ -260,7 +267,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        // Only now: what came in the same read behind the reply has shown up as bytes that nobody asked for.
+        // Not earlier, because data that follows the reply in the same read must first be detected as unsolicited.
         if (awaitingRelease && listener == null && reusable) {
             awaitingRelease = false;
             releaseWhenWritten();
@@ -273,7 +280,7 @@
             onIdle.accept(this);
             return;
         }
-        // The endpoint answered before it had read the whole request: the rest of it is still due on this connection.
+        // The endpoint replied before it had read the complete request, the rest of which must still be written here.
         request.addListener(done -> {
             if (done.isSuccess() && channel().isActive()) {
                 onIdle.accept(this);
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/ListeningSockets.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/ListeningSockets.java
@@ -10,21 +10,22 @@
     private ListeningSockets() {}
 
     /**
-     * Listens on an address; on a port of the system's choice where its port is 0. Blocks until it does.
+     * Opens a socket that listens on an address. For port 0 the operating system chooses a port. Blocks until the socket is
+     * bound.
      *
-     * @throws GatewayException if the address can't be listened on
+     * @throws GatewayException if the process cannot listen on the address
      */
     public static Channel bind(ServerBootstrap bootstrap, InetSocketAddress address) {
         ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            String why = "can't listen on " + address + ": " + bound.cause().getMessage();
+            String why = "cannot listen on " + address + ": " + bound.cause().getMessage();
             throw new GatewayException(GatewayException.Code.ADDRESS_UNUSABLE, why, bound.cause());
         }
         return bound.channel();
     }
 
-    /** Returns the address that an opened channel listens on, with the port that it really has. */
-    public static InetSocketAddress localAddress(Channel opened) {
-        return (InetSocketAddress) opened.localAddress();
+    /** Returns the address that a bound channel listens on, with the port in use. */
+    public static InetSocketAddress localAddress(Channel bound) {
+        return (InetSocketAddress) bound.localAddress();
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/ReplyCollector.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/ReplyCollector.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** Collects a reply that is small, and hands it on when it is whole. */
+/** Collects a small reply and delivers it when it is complete. */
 public final class ReplyCollector implements ReplyListener {
     private final int maxBytes;
     private final BiConsumer<HttpResponse, ByteBuf> onComplete;
@@ -20,9 +20,9 @@
     /**
      * Creates a collector.
      *
-     * @param maxBytes the longest body taken
-     * @param onComplete takes head and body; it owns the body
-     * @param onFailure takes the reason why there is no whole reply
+     * @param maxBytes the longest body that is accepted, in bytes
+     * @param onComplete receives the head and the body, and owns the body
+     * @param onFailure receives the reason if there is no complete reply
      */
     public ReplyCollector(int maxBytes, BiConsumer<HttpResponse, ByteBuf> onWhole, Consumer<CallFailure> onFailure) {
         this.maxBytes = maxBytes;
@@ -30,7 +30,7 @@
         this.onFailure = onFailure;
     }
 
-    /** Returns the body as text. */
+    /** Returns the body as UTF-8 text. */
     public static String text(ByteBuf body) {
         return body.toString(StandardCharsets.UTF_8);
     }
@@ -41,24 +41,24 @@
     }
 
     @Override
-    public void body(ByteBuf piece) {
-        if (!ended && collected.readableBytes() + piece.readableBytes() > maxBytes) {
-            piece.release();
+    public void body(ByteBuf part) {
+        if (!ended && collected.readableBytes() + part.readableBytes() > maxBytes) {
+            part.release();
             failed(new CallFailure(CallFailure.Kind.MALFORMED, "the body is longer than " + maxBytes + " bytes"));
             return;
         }
-        collected.writeBytes(piece);
-        piece.release();
+        collected.writeBytes(part);
+        part.release();
     }
 
     @Override
     public void completed() {
-        HttpResponse whole = head;
-        if (ended || whole == null) {
+        HttpResponse completeHead = head;
+        if (ended || completeHead == null) {
             return;
         }
         ended = true;
-        onComplete.accept(whole, collected);
+        onComplete.accept(completeHead, collected);
     }
 
     @Override
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/ReplyListener.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/ReplyListener.java
@@ -3,17 +3,19 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Takes the parts of one reply, in order, on the event loop. After {@code completed} or {@code failed} nothing follows. */
+/**
+ * Receives the parts of one reply, in order, on the event loop. No call follows {@code completed} or {@code failed}.
+ */
 public interface ReplyListener {
-    /** Takes the status and the headers. */
+    /** Receives the status and the headers. */
     void head(HttpResponse head);
 
-    /** Takes a piece of the body. The listener owns the buffer and releases it. */
-    void body(ByteBuf piece);
+    /** Receives a part of the body. The listener owns the buffer and releases it. */
+    void body(ByteBuf part);
 
-    /** The reply is whole. */
+    /** Called when the reply is complete. */
     void completed();
 
-    /** The reply is not whole and never will be. */
+    /** Called when the reply is not complete and will not be completed. */
     void failed(CallFailure failure);
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/log/AsyncLogHandler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/log/AsyncLogHandler.java
@@ -12,13 +12,13 @@
 /**
  * Writes log lines on a thread of its own, so that no request waits for the log. Thread-safe.
  *
- * <p>The queue is bounded. When it is half full, lines below {@link Level#WARNING} are left out and counted; the count is
- * written with the next line that fits.
+ * <p>The queue is bounded. When it is half full, lines below {@link Level#WARNING} are dropped and counted; when it is full, all
+ * lines are. The count is written with the next batch of lines.
  */
 public final class AsyncLogHandler extends Handler {
-    /** Lines that may wait: about ten seconds of a busy entry. */
+    /** Maximum number of queued lines: about ten seconds of a busy entry. */
     private static final int MAX_QUEUED_LINES = 4_096;
-    /** How long lines are gathered before they are written together, in milliseconds. */
+    /** How long lines are collected before they are written together, in milliseconds. */
     private static final long BATCH_MILLIS = 100;
 
     private final OutputStream out;
@@ -36,14 +36,14 @@
     }
 
     @Override
-    public synchronized void publish(LogRecord line) {
-        boolean urgent = line.getLevel().intValue() >= Level.WARNING.intValue();
-        int room = urgent ? MAX_QUEUED_LINES : MAX_QUEUED_LINES / 2;
-        if (queue.size() >= room) {
+    public synchronized void publish(LogRecord record) {
+        boolean urgent = record.getLevel().intValue() >= Level.WARNING.intValue();
+        int capacity = urgent ? MAX_QUEUED_LINES : MAX_QUEUED_LINES / 2;
+        if (queue.size() >= capacity) {
             droppedLines++;
             return;
         }
-        queue.addLast(line);
+        queue.addLast(record);
         if (queue.size() == 1) {
             notifyAll();
         }
@@ -62,7 +62,7 @@
                 Thread.sleep(BATCH_MILLIS);
             }
         } catch (IOException | InterruptedException expected) {
-            // Nobody reads the log any more, or the process ends: there is nowhere left to report to.
+            // Nothing reads the log any more, or the process ends, so the fault cannot be reported.
         }
     }
 
@@ -74,8 +74,8 @@
             text.append("event=log-lines-left-out count=").append(droppedLines).append('\n');
             droppedLines = 0;
         }
-        for (LogRecord line = queue.pollFirst(); line != null; line = queue.pollFirst()) {
-            LogLine.append(text, line);
+        for (LogRecord record = queue.pollFirst(); record != null; record = queue.pollFirst()) {
+            LogLine.append(text, record);
         }
         notifyAll();
         return !closing || text.length() > 0;
@@ -83,7 +83,7 @@
 
     @Override
     public void flush() {
-        // Lines are written as soon as the writer's turn comes; close() waits for them.
+        // The writer thread writes queued lines within the batch interval; close() waits for them.
     }
 
     @Override
--- a/gateway/src/main/java/org/quetzalseam/gateway/log/LogLine.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/log/LogLine.java
@@ -3,15 +3,16 @@
 import java.time.Instant;
 import java.util.logging.LogRecord;
 
-/** One line of key=value pairs for a log record. Stateless. */
+/** Formats a log record as a line of key=value pairs. Stateless. */
 final class LogLine {
     private LogLine() {}
 
-    static void append(StringBuilder text, LogRecord line) {
-        text.append("time=").append(Instant.ofEpochMilli(line.getMillis()));
-        text.append(" level=").append(line.getLevel().getName());
-        text.append(' ').append(line.getMessage().replace('\n', ' '));
-        Throwable thrown = line.getThrown();
+    /** Appends the record's line, with a stack trace of at most 4 frames if it has an exception. */
+    static void append(StringBuilder text, LogRecord record) {
+        text.append("time=").append(Instant.ofEpochMilli(record.getMillis()));
+        text.append(" level=").append(record.getLevel().getName());
+        text.append(' ').append(record.getMessage().replace('\n', ' '));
+        Throwable thrown = record.getThrown();
         if (thrown != null) {
             text.append(" error=\"")
                     .append(thrown.toString().replace('\n', ' '))
--- a/gateway/src/main/java/org/quetzalseam/gateway/log/LogSetup.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/log/LogSetup.java
@@ -6,21 +6,21 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Sends the process's log to standard output. Stateless. */
+/** Configures the process's log, which goes to standard output. Stateless. */
 public final class LogSetup {
     private static final Logger PROJECT_LOGGER = Logger.getLogger("org.quetzalseam");
 
-    /** How much is logged. */
+    /** The level of detail of the log. */
     public enum Detail {
-        /** Each decision that touches a request, and all below. */
+        /** Every decision that affects a request, and all that {@link #WARNING} includes. */
         INFO,
-        /** Only what an operator should look at. */
+        /** Only what needs an operator's attention. */
         WARNING
     }
 
     private LogSetup() {}
 
-    /** Logs everything until told otherwise. Returns the handler, which is closed when the process ends. */
+    /** Sends the log to standard output, at first with full detail. Returns the handler, to be closed when the process ends. */
     public static Handler toStandardOutput() {
         Logger root = Logger.getLogger("");
         for (Handler handler : root.getHandlers()) {
@@ -34,7 +34,7 @@
         return handler;
     }
 
-    /** Sets how much is logged from now on. */
+    /** Sets the level of detail from now on. */
     public static void detail(Detail detail) {
         PROJECT_LOGGER.setLevel(detail == Detail.INFO ? Level.INFO : Level.WARNING);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/log/package-info.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/log/package-info.java
@@ -1,4 +1,4 @@
-/** Log lines that never hold up a request. */
+/** Asynchronous logging, which never delays a request. */
 @NullMarked
 package org.quetzalseam.gateway.log;
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/operator/GatewayMetrics.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/operator/GatewayMetrics.java
@@ -13,15 +13,18 @@
 import java.util.function.Supplier;
 
 /**
- * What an entry measures, in Prometheus form. Used on the event loop only.
+ * The metrics of an entry, in Prometheus format. Used on the event loop only.
  *
- * <p>Names of routes and services come from the operator; beyond a fixed number of them the rest share one label, so that the
- * number of series stays bounded.
+ * <p>The operator chooses the names of routes and services. Beyond {@code MAX_NAME_LABELS} names, all further ones share one
+ * label value, so that the number of series stays bounded.
  */
 public final class GatewayMetrics {
     private static final int MAX_NAME_LABELS = 100;
     private static final String OTHER_LABEL = "other";
-    /** Bounds of the histograms, in milliseconds: about a factor of two apart, from a network's time to a long stream's. */
+    /**
+     * Bucket bounds of the histograms: about a factor of two apart, from the time of a network round trip to the duration of a
+     * long stream.
+     */
     private static final Duration[] HISTOGRAM_BUCKETS =
             millis(5, 10, 20, 50, 100, 200, 400, 900, 2_000, 4_000, 8_000, 16_000);
 
@@ -70,63 +73,63 @@
                 .increment(by);
     }
 
-    /** Notes a request's end: how, and how long after its arrival. */
+    /** Records a request's outcome and the time from its arrival to its end. */
     public void requestEnded(String route, String outcome, long millis) {
         count("quetzalseam.requests", "route", route, "outcome", outcome);
         timer("quetzalseam.answer.time", route).record(Duration.ofMillis(millis));
     }
 
-    /** Notes the time from a stream's arrival to its first event. */
+    /** Records the time from the arrival of a streaming request to its first event. */
     public void firstEvent(String route, long millis) {
         timer("quetzalseam.first.event", route).record(Duration.ofMillis(millis));
     }
 
-    /** Notes the longest pause between two events of a stream. */
+    /** Records the longest pause between two events of a stream. */
     public void longestPause(String route, long millis) {
         timer("quetzalseam.longest.pause", route).record(Duration.ofMillis(millis));
     }
 
-    /** Counts a try that an endpoint turned away, or that failed, by how. */
+    /** Counts an attempt that an endpoint rejected or that failed, by its outcome. */
     public void failedAttempt(String service, String outcome) {
         count("quetzalseam.failed.tries", "service", service, "outcome", outcome);
     }
 
-    /** Counts prompt tokens that were read and of which no whole answer came. */
+    /** Counts tokens of prompts that were prefilled without a complete answer coming of it. */
     public void wastedPromptTokens(String service, int tokens) {
         count("quetzalseam.prompt.tokens", "service", service, "use", "in-vain", tokens);
     }
 
-    /** Counts a call to the platform's store by what it asked for and how it ended. */
+    /** Counts a call to the platform's store by its kind and outcome. */
     public void storeCall(String kind, String outcome) {
         count("quetzalseam.store.calls", "kind", kind, "outcome", outcome);
     }
 
-    /** Counts that the platform's store has come back from an older copy. */
+    /** Counts a restore of the platform's store from an older copy. */
     public void storeRestored() {
         count("quetzalseam.store.restores", "entry", "all", "reason", "older-copy");
     }
 
-    /** Notes how long a generation waited for decode memory. */
+    /** Records how long a generation waited for decode memory. */
     public void bookingWait(String route, long millis) {
         timer("quetzalseam.booking.wait", route).record(Duration.ofMillis(millis));
     }
 
-    /** Counts a refusal by its reason, which must come from a fixed set. */
+    /** Counts a refused request by its reason, which must come from a fixed set so that the number of series stays bounded. */
     public void requestRefused(String reason) {
         count("quetzalseam.refusals", "entry", "all", "reason", reason);
     }
 
-    /** Counts a retry that the budget allowed, or didn't. */
+    /** Counts a retry, by whether the retry budget allowed it. */
     public void retry(String service, boolean allowed) {
         count("quetzalseam.retries", "service", service, "allowed", Boolean.toString(allowed));
     }
 
-    /** Registers a figure that is read whenever the metrics are asked for. */
+    /** Registers a gauge, whose value is read whenever the metrics are requested. */
     public void gauge(String metric, Supplier<Number> value) {
         Gauge.builder(metric, value).strongReference(true).register(registry);
     }
 
-    /** Returns all series as text. */
+    /** Returns all series in the Prometheus text format. */
     public String text() {
         return registry.scrape();
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/operator/OperatorServer.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/operator/OperatorServer.java
@@ -26,24 +26,32 @@
 import java.util.function.Supplier;
 import org.quetzalseam.gateway.http.ListeningSockets;
 
-/** Answers whether the process is ready, and other short questions, on addresses of their own. */
+/** Serves readiness checks and pages of plain text, such as the metrics, on addresses of their own. */
 public final class OperatorServer {
     private final EventLoop loop;
     private final BooleanSupplier ready;
     private final Map<String, Supplier<String>> pages = new HashMap<>();
 
-    /** Creates a server; every path that isn't a page answers whether the process is ready. */
+    /**
+     * Creates a server.
+     *
+     * @param loop the event loop that it runs on
+     * @param ready whether the process is ready; this answers requests for every path that is not a page
+     */
     public OperatorServer(EventLoop loop, BooleanSupplier ready) {
         this.loop = loop;
         this.ready = ready;
     }
 
-    /** Adds a page of plain text, such as the metrics. Call it before {@link #start}. */
+    /** Adds a page of plain text, such as the metrics. To be called before {@link #start}. */
     public void addPage(String path, Supplier<String> text) {
         pages.put(path, text);
     }
 
-    /** Listens on an address; may be called for several. Blocks until it does, and returns the address with its real port. */
+    /**
+     * Starts to listen on an address, and may be called for several. Blocks until the socket is bound, and returns the address
+     * with the port in use.
+     */
     public InetSocketAddress start(InetSocketAddress address) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop, loop)
--- a/gateway/src/main/java/org/quetzalseam/gateway/operator/package-info.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/operator/package-info.java
@@ -1,4 +1,4 @@
-/** The operator and the platform's balancer as peers: readiness and metrics. */
+/** The interface to operators and the platform's load balancer: readiness and metrics. */
 @NullMarked
 package org.quetzalseam.gateway.operator;
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/runtime/ProcessSignals.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/runtime/ProcessSignals.java
@@ -5,11 +5,11 @@
 import java.lang.reflect.Proxy;
 
 /**
- * The signals that a process is steered by. Stateless.
+ * Handles the signals that control a process. Stateless.
  *
- * <p>Left to itself, the JVM ends on the reload signal, and on the stop signal it closes the log before the process has left
- * in order. The JDK's module {@code jdk.unsupported} has the only way to take a signal; it is reached by reflection, as the
- * compiler warns of any direct use and warnings fail this build.
+ * <p>By default, the JVM exits on the reload signal, and on the stop signal it closes the log before the process has shut down
+ * in order. Only the JDK's module {@code jdk.unsupported} offers a way to handle signals. It is used through reflection, because
+ * the compiler warns of any direct use and warnings fail this build.
  */
 public final class ProcessSignals {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -19,12 +19,12 @@
 
     private ProcessSignals() {}
 
-    /** Calls on a thread of its own whenever the settings are to be read again. */
+    /** Sets the callback that runs, on a thread of its own, whenever the settings are to be reloaded. */
     public static void onReload(Runnable call) {
         register(RELOAD_SIGNAL, call);
     }
 
-    /** Calls on a thread of its own when the process is to stop. */
+    /** Sets the callback that runs, on a thread of its own, when the process is to stop. */
     public static void onStop(Runnable call) {
         register(STOP_SIGNAL, call);
         register(INTERRUPT_SIGNAL, call);
--- a/gateway/src/main/java/org/quetzalseam/gateway/runtime/ScheduledCall.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/runtime/ScheduledCall.java
@@ -1,8 +1,8 @@
 package org.quetzalseam.gateway.runtime;
 
-/** A timed call to come, which can be cancelled; cancelling twice, or too late, is harmless. */
+/** A scheduled call that can be cancelled. Cancelling it twice, or after it has run, has no effect. */
 @FunctionalInterface
 public interface ScheduledCall {
-    /** Makes no further calls. */
+    /** Cancels all further calls. */
     void cancel();
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/runtime/Timers.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/runtime/Timers.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** Timed calls on one event loop. A call that throws is logged; one that repeats goes on. */
+/** Schedules calls on one event loop. A call that throws is logged; a repeated call is then still repeated. */
 public final class Timers {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -14,7 +14,7 @@
     private final LongSupplier monotonicNanos;
     private final LongSupplier wallMillis;
 
-    /** Creates timers of an event loop, by the machine's clocks. */
+    /** Creates timers of an event loop that use the system clocks. */
     public Timers(EventLoop loop) {
         this(loop, System::nanoTime, System::currentTimeMillis);
     }
@@ -22,9 +22,9 @@
     /**
      * Creates timers of an event loop.
      *
-     * @param loop the event loop
-     * @param monotonicNanos the monotonic clock
-     * @param wallMillis the time of day, which may jump
+     * @param loop the event loop that runs the calls
+     * @param monotonicNanos the monotonic clock, in nanoseconds
+     * @param wallMillis the wall clock, in milliseconds, which may jump
      */
     public Timers(EventLoop loop, LongSupplier steadyNanos, LongSupplier wallMillis) {
         this.loop = loop;
@@ -37,23 +37,23 @@
         return monotonicNanos.getAsLong();
     }
 
-    /** Returns the time of day in milliseconds; it may jump. */
+    /** Returns the wall clock time in milliseconds, which may jump. */
     public long wallMillis() {
         return wallMillis.getAsLong();
     }
 
-    /** Calls as soon as what the loop is doing now has ended. */
+    /** Calls once, after the tasks that the event loop already has. */
     public void soon(Runnable call) {
         loop.execute(guarded(call));
     }
 
-    /** Calls once, after so many milliseconds. */
+    /** Calls once, after a delay in milliseconds. */
     public ScheduledCall after(long millis, Runnable call) {
         Future<?> scheduled = loop.schedule(guarded(call), Math.max(0, millis), TimeUnit.MILLISECONDS);
         return () -> scheduled.cancel(false);
     }
 
-    /** Calls again and again, with so many milliseconds from one call to the next. */
+    /** Calls repeatedly, with a pause in milliseconds before each call. */
     public ScheduledCall every(long millis, Runnable call) {
         Future<?> scheduled = loop.scheduleWithFixedDelay(guarded(call), millis, millis, TimeUnit.MILLISECONDS);
         return () -> scheduled.cancel(false);
--- a/gateway/src/test/java/org/quetzalseam/gateway/caller/CallerServerTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/caller/CallerServerTest.java
@@ -46,12 +46,12 @@
                 (self, method, arguments) -> new RequestFacts("", Long.MAX_VALUE, null, null));
     }
 
-    /** Takes a request that never ends; every second one fails when it has to. */
+    /** Accepts a request that does not end by itself; the shutdown callback of every second one throws. */
     private void accept(Exchange exchange) {
         boolean fails = requests++ % 2 == 0;
         exchange.onShutdown(() -> {
             if (fails) {
-                throw new IllegalStateException("fails at the end");
+                throw new IllegalStateException("fails at shutdown");
             }
             exchange.answer(HttpResponseStatus.BAD_GATEWAY, "stops", new DefaultHttpHeaders());
         });
@@ -74,16 +74,16 @@
                     server.endAll();
                 })
                 .await();
-        int told = 0;
+        int answered = 0;
         for (Socket caller : callers) {
             caller.setSoTimeout(2_000);
-            told += new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+            answered += new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                             .startsWith("HTTP/1.1 502")
                     ? 1
                     : 0;
             caller.close();
         }
-        assertThat(told).isEqualTo(CALLERS / 2);
+        assertThat(answered).isEqualTo(CALLERS / 2);
         assertThat(loop.submit(server::inProgress).get()).isZero();
     }
 
--- a/gateway/src/test/java/org/quetzalseam/gateway/log/AsyncLogHandlerTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/log/AsyncLogHandlerTest.java
@@ -13,7 +13,7 @@
 class AsyncLogHandlerTest {
     private static final int MANY = 10_000;
 
-    /** A reader of the log that takes nothing until it is let. */
+    /** An output that blocks every write until it is unblocked. */
     private static final class BlockedOutput extends OutputStream {
         private final ByteArrayOutputStream written = new ByteArrayOutputStream();
         private final CountDownLatch unblocked = new CountDownLatch(1);
