--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
@@ -68,7 +68,10 @@
         }
     }
 
-    /** Closes the connection when the caller has sent nothing, or read nothing, for longer than the limits allow. */
+    /**
+     * Closes the connection if it has been idle, a request has been received only in part, or a finished answer has been unread
+     * for longer than the limits allow.
+     */
     void closeIfTimedOut(long now) {
         Exchange exchange = current;
         if (exchange != null) {
@@ -86,7 +89,7 @@
         }
     }
 
-    /** Closes the connection when the caller has not read a complete answer within the idle limit. */
+    /** Closes the connection if the answer has ended and the caller has not read the rest of it within the idle limit. */
     private void closeIfAnswerUnread(Exchange exchange, long now) {
         long limit = TimeUnit.MILLISECONDS.toNanos(server.limits().idleMillis());
         if (exchange.ended() && now - exchange.endedAt() > limit) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerServer.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerServer.java
@@ -206,7 +206,7 @@
         }
     }
 
-    /** Ends all requests that are still in progress because the process ends. */
+    /** Ends all requests in progress, because the process ends. */
     public void endAll() {
         for (CallerConnection connection : List.copyOf(connections)) {
             try {
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
@@ -364,7 +364,7 @@
     /**
      * Ends this incarnation. Calls that have been sent may have run; their replies are accepted for a short time, because they
      * can only be in transit already. Calls that have not been sent fail as soon as this method has returned. Calls on a
-     * connection that was opened after the endpoint had disconnected may be with the next incarnation, and continue.
+     * connection that was opened after the endpoint had disconnected may be with the next incarnation, so they continue.
      */
     void endIncarnation() {
         ended = true;
