--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/Exchange.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/Exchange.java
@@ -190,9 +190,8 @@
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
-        // The request stays in progress until its answer is written, so that neither the end of the process nor the
-        // next
-        // request interferes.
+        // The request stays in progress until its answer is written, so that neither the next request nor the end of
+        // the process interferes.
         written.addListener(done -> finish());
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Directory.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Directory.java
@@ -38,7 +38,7 @@
         return loaded;
     }
 
-    /** Replaces the endpoints by those of the given registrations. */
+    /** Updates the directory to the given registrations and removes all endpoints that are not among them. */
     public void update(Collection<Member> members) {
         loaded = true;
         Set<String> listed = new HashSet<>();
