--- a/gateway/src/main/java/org/quetzalseam/gateway/http/ReplyCollector.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/ReplyCollector.java
@@ -24,9 +24,9 @@
      * @param onComplete receives the head and the body, and owns the body
      * @param onFailure receives the reason if there is no complete reply
      */
-    public ReplyCollector(int maxBytes, BiConsumer<HttpResponse, ByteBuf> onWhole, Consumer<CallFailure> onFailure) {
+    public ReplyCollector(int maxBytes, BiConsumer<HttpResponse, ByteBuf> onComplete, Consumer<CallFailure> onFailure) {
         this.maxBytes = maxBytes;
-        this.onComplete = onWhole;
+        this.onComplete = onComplete;
         this.onFailure = onFailure;
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/runtime/Timers.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/runtime/Timers.java
@@ -26,9 +26,9 @@
      * @param monotonicNanos the monotonic clock, in nanoseconds
      * @param wallMillis the wall clock, in milliseconds, which may jump
      */
-    public Timers(EventLoop loop, LongSupplier steadyNanos, LongSupplier wallMillis) {
+    public Timers(EventLoop loop, LongSupplier monotonicNanos, LongSupplier wallMillis) {
         this.loop = loop;
-        this.monotonicNanos = steadyNanos;
+        this.monotonicNanos = monotonicNanos;
         this.wallMillis = wallMillis;
     }
 
