--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
@@ -272,8 +272,8 @@
         }
         discarding = true;
         if (current != null) {
-            // The answer in progress is completed first; the closed connection then tells the caller that this request
-            // failed.
+            // The answer in progress is completed first. The caller learns of this request's failure from the closed
+            // connection.
             current.closeAfterAnswer();
             return;
         }
