--- a/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
@@ -1,6 +1,6 @@
 package org.quetzalseam.gateway.route;
 
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.PrefillPlanner;
 import org.quetzalseam.core.routing.RouteRule;
 import org.quetzalseam.gateway.caller.Exchange;
 
@@ -24,9 +24,9 @@
     }
 
     /** Returns what is left at this moment: an answer whose first event comes after its caller has given up is of no use. */
-    ReadingPool.Due remaining() {
+    PrefillPlanner.Deadline remaining() {
         double inTime = (double) route.targetLatencyMillis() - exchange.ageMillis() - earlierAttemptsMillis;
         long left = Math.min(forwarded.remainingMillis(), route.idleTimeoutMillis() - exchange.ageMillis());
-        return new ReadingPool.Due(inTime, (double) left, (double) route.targetLatencyMillis());
+        return new PrefillPlanner.Deadline(inTime, (double) left, (double) route.targetLatencyMillis());
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
@@ -60,12 +60,12 @@
                 prefillRequest = null;
                 double first = reader.map(engine -> bookings.prefillEngines().firstEventMillis(engine, demand.prompt()))
                         .orElse(0.0);
-                requestBooking(demand, Math.round(deadline.remaining().inTimeMillis() - first), null);
+                requestBooking(demand, Math.round(deadline.remaining().untilObjectiveMillis() - first), null);
             }
 
             @Override
             public void beginInPlace(Endpoint decoder) {
-                requestBooking(demand, Math.round(deadline.remaining().inTimeMillis()), decoder);
+                requestBooking(demand, Math.round(deadline.remaining().untilObjectiveMillis()), decoder);
             }
 
             @Override
@@ -79,14 +79,14 @@
     }
 
     private void requestBooking(TokenDemand demand, long inTime, @Nullable Endpoint only) {
-        int tokens = bookings.booking().tokens(demand);
+        int tokens = bookings.booking().bookedTokens(demand);
         long now = context.now();
-        long left = Math.round(deadline.remaining().leftMillis());
+        long left = Math.round(deadline.remaining().untilAbandonedMillis());
         long wait = Math.min(inTime > 0 ? inTime : LATE_WAIT_MILLIS, left);
         BookingRequest wanted = new BookingRequest(
                 tokens,
-                bookings.booking().room(demand),
-                bookings.booking().cost(demand),
+                bookings.booking().headroomTokens(demand),
+                bookings.booking().expectedCost(demand),
                 now + TimeUnit.MILLISECONDS.toNanos(inTime),
                 now + TimeUnit.MILLISECONDS.toNanos(wait),
                 only,
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.ThreadLocalRandom;
 import org.quetzalseam.core.fleet.Stage;
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.PrefillPlanner;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /** A service's prefill engines as this entry sees them. Used on the event loop only. */
@@ -16,7 +16,7 @@
 
     private final RunContext context;
     private final String service;
-    private final ReadingPool<Endpoint> pool = new ReadingPool<>();
+    private final PrefillPlanner<Endpoint> pool = new PrefillPlanner<>();
 
     PrefillEngines(RunContext context, String service) {
         this.context = context;
@@ -25,12 +25,12 @@
     }
 
     private void forgetRemoved() {
-        pool.forget(engine -> !context.directory().usable(engine));
+        pool.removeEngines(engine -> !context.directory().usable(engine));
     }
 
     /** Sets among how many entries the engines are shared. */
     void entries(int counted) {
-        pool.entries(counted);
+        pool.updateEntryCount(counted);
     }
 
     private List<Endpoint> usable() {
@@ -49,11 +49,11 @@
         Comparator<Endpoint> ties = Comparator.<Endpoint, Boolean>comparing(
                         engine -> !engine.member().zone().equals(zone))
                 .thenComparing(engine -> ThreadLocalRandom.current().nextInt());
-        return pool.best(sound.isEmpty() ? reachable : sound, tokens, now, ties);
+        return pool.selectEngine(sound.isEmpty() ? reachable : sound, tokens, now, ties);
     }
 
     /** Returns whether a prompt is worth beginning at an engine. */
-    ReadingPool.Verdict judge(Endpoint engine, int tokens, ReadingPool.Due due) {
+    PrefillPlanner.Verdict judge(Endpoint engine, int tokens, PrefillPlanner.Deadline due) {
         return pool.judge(engine, usable().size(), tokens, due, context.now());
     }
 
@@ -63,50 +63,50 @@
     }
 
     /** Returns whether a prompt's first event is predicted to miss the objective. */
-    boolean missesObjective(Endpoint engine, int tokens, ReadingPool.Due due) {
-        return firstEventMillis(engine, tokens) > due.inTimeMillis();
+    boolean missesObjective(Endpoint engine, int tokens, PrefillPlanner.Deadline due) {
+        return firstEventMillis(engine, tokens) > due.untilObjectiveMillis();
     }
 
     /** Returns the inputs of a verdict on a prompt, for the log. */
-    String describeInputs(Endpoint engine, int tokens, ReadingPool.Due due) {
+    String describeInputs(Endpoint engine, int tokens, PrefillPlanner.Deadline due) {
         long now = context.now();
         return String.format(
                 "predicted_ms=%.0f queue_ms=%.0f in_time_ms=%.0f left_ms=%.0f tokens=%d share_left=%.0f",
-                pool.firstEventMillis(engine, tokens, now),
+                pool.predictFirstEventMillis(engine, tokens, now),
                 pool.queueMillis(engine, now),
-                due.inTimeMillis(),
-                due.leftMillis(),
+                due.untilObjectiveMillis(),
+                due.untilAbandonedMillis(),
                 tokens,
                 pool.shareLeft());
     }
 
     /** Returns when a prompt's first event comes that an engine begins now, in milliseconds. */
     double firstEventMillis(Endpoint engine, int tokens) {
-        return pool.firstEventMillis(engine, tokens, context.now());
+        return pool.predictFirstEventMillis(engine, tokens, context.now());
     }
 
     /** Notes when a generation's prompt was read, 0 for one that no engine here has read, and when its first event came. */
     void recordFirstEvent(long readAtMillis, long firstEventMillis) {
         if (readAtMillis > 0 && firstEventMillis > readAtMillis) {
-            pool.firstEvent((double) (firstEventMillis - readAtMillis));
+            pool.recordFirstEvent((double) (firstEventMillis - readAtMillis));
         }
     }
 
-    ReadingPool<Endpoint>.Reading begin(Endpoint engine, int tokens, ReadingPool.Due due) {
+    PrefillPlanner<Endpoint>.Prefill begin(Endpoint engine, int tokens, PrefillPlanner.Deadline due) {
         return pool.begin(engine, tokens, context.now(), due.objectiveMillis());
     }
 
     /** Returns whether a reading is to be begun elsewhere. */
-    boolean isLost(ReadingPool<Endpoint>.Reading reading, Endpoint engine) {
+    boolean isLost(PrefillPlanner<Endpoint>.Prefill reading, Endpoint engine) {
         boolean gone = !engine.member().draining() && !context.directory().usable(engine);
-        return reading.lost(usable(), gone, context.now());
+        return reading.shouldRetryElsewhere(usable(), gone, context.now());
     }
 
     /** Returns when the shortest backlog lets in more, in milliseconds; 0 where nothing reads. */
     double retryAfterMillis(double objectiveMillis) {
         long now = context.now();
         return usable().stream()
-                .mapToDouble(engine -> pool.comeBackMillis(engine, objectiveMillis, now))
+                .mapToDouble(engine -> pool.retryAfterMillis(engine, objectiveMillis, now))
                 .min()
                 .orElse(0);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.quetzalseam.core.generation.ReadingLine;
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.PrefillPlanner;
+import org.quetzalseam.core.generation.PrefillQueue;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /** A generation's wait until its prompt can be read. Used on the event loop only. */
@@ -24,7 +24,7 @@
     private final FirstEventDeadline deadline;
     private final RunLog log;
     private final Listener listener;
-    private ReadingLine<PrefillRequest>.@Nullable Place queueEntry;
+    private PrefillQueue<PrefillRequest>.@Nullable Position queueEntry;
     private boolean triedInPlace;
 
     PrefillRequest(int promptTokens, FirstEventDeadline due, RunLog log, Listener outcome) {
@@ -38,7 +38,7 @@
         return promptTokens;
     }
 
-    ReadingPool.Due remaining() {
+    PrefillPlanner.Deadline remaining() {
         return deadline.remaining();
     }
 
@@ -53,17 +53,17 @@
     }
 
     /** Returns its place among those who wait, or the last one it had. */
-    ReadingLine<PrefillRequest>.@Nullable Place queueEntry() {
+    PrefillQueue<PrefillRequest>.@Nullable Position queueEntry() {
         return queueEntry;
     }
 
     /** Notes its place among those who wait. */
-    void queueEntry(ReadingLine<PrefillRequest>.Place taken) {
+    void queueEntry(PrefillQueue<PrefillRequest>.Position taken) {
         queueEntry = taken;
     }
 
     /** Notes why it has to wait. */
-    void logQueued(Endpoint reader, ReadingPool.Verdict verdict, String inputs) {
+    void logQueued(Endpoint reader, PrefillPlanner.Verdict verdict, String inputs) {
         log.prefillQueued(reader, verdict, inputs);
     }
 
@@ -76,7 +76,7 @@
         listener.beginInPlace(decoder);
     }
 
-    void refuse(Endpoint reader, ReadingPool.Verdict verdict, String inputs) {
+    void refuse(Endpoint reader, PrefillPlanner.Verdict verdict, String inputs) {
         log.prefillNotBegun(reader, verdict, inputs);
         listener.refused();
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.PrefillPlanner;
 import org.quetzalseam.gateway.caller.Exchange;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.endpoint.EndpointCall;
@@ -59,7 +59,7 @@
     private final RunLog log;
     private final Listener listener;
     private final Set<Endpoint> tried = new HashSet<>();
-    private ReadingPool<Endpoint>.@Nullable Reading prefill;
+    private PrefillPlanner<Endpoint>.@Nullable Prefill prefill;
     private @Nullable EndpointCall call;
     private @Nullable ScheduledCall checkTimer;
     private @Nullable ScheduledCall giveUpTimer;
@@ -93,9 +93,9 @@
             return;
         }
         Endpoint engine = chosen.get();
-        ReadingPool.Due left = deadline.remaining();
-        ReadingPool.Verdict verdict = engines.judge(engine, promptTokens, left);
-        if (verdict != ReadingPool.Verdict.BEGIN) {
+        PrefillPlanner.Deadline left = deadline.remaining();
+        PrefillPlanner.Verdict verdict = engines.judge(engine, promptTokens, left);
+        if (verdict != PrefillPlanner.Verdict.BEGIN) {
             refuseOrPostpone(engine, verdict, left);
             return;
         }
@@ -103,8 +103,8 @@
     }
 
     /** Another engine's part of a prompt may have been read already, so only an untouched one can wait for its turn again. */
-    private void refuseOrPostpone(Endpoint engine, ReadingPool.Verdict verdict, ReadingPool.Due left) {
-        boolean untouched = tried.isEmpty() && verdict != ReadingPool.Verdict.CALLER_LEAVES_SOONER;
+    private void refuseOrPostpone(Endpoint engine, PrefillPlanner.Verdict verdict, PrefillPlanner.Deadline left) {
+        boolean untouched = tried.isEmpty() && verdict != PrefillPlanner.Verdict.CALLER_LEAVES_SOONER;
         if (untouched) {
             listener.notBegun();
             return;
@@ -113,7 +113,7 @@
         listener.failed(NOT_BEGUN_REASON);
     }
 
-    private void send(Endpoint engine, Endpoint decoder, ReadingPool<Endpoint>.Reading begun) {
+    private void send(Endpoint engine, Endpoint decoder, PrefillPlanner<Endpoint>.Prefill begun) {
         tried.add(engine);
         prefill = begun;
         long sentAt = context.now();
@@ -127,8 +127,8 @@
                 exchange.facts().id(),
                 reply);
         call = asked;
-        scheduleCheck(Math.round(begun.silenceMillis()), asked, engine, decoder, begun);
-        double left = deadline.remaining().leftMillis();
+        scheduleCheck(Math.round(begun.unresponsiveLimitMillis()), asked, engine, decoder, begun);
+        double left = deadline.remaining().untilAbandonedMillis();
         long until = Math.round(left - Math.min(REFUSAL_LEAD_MILLIS, MAX_REFUSAL_LEAD_SHARE * left));
         giveUpTimer = context.after(Math.max(0, until), () -> giveUp(asked, engine));
     }
@@ -149,7 +149,11 @@
     }
 
     private void scheduleCheck(
-            long millis, EndpointCall asked, Endpoint engine, Endpoint decoder, ReadingPool<Endpoint>.Reading begun) {
+            long millis,
+            EndpointCall asked,
+            Endpoint engine,
+            Endpoint decoder,
+            PrefillPlanner<Endpoint>.Prefill begun) {
         checkTimer = context.after(Math.max(MIN_CHECK_INTERVAL_MILLIS, millis), () -> {
             if (!asked.active()) {
                 return;
@@ -159,13 +163,17 @@
                 failed(engine, decoder, new CallFailure(CallFailure.Kind.TIMED_OUT, "silent, while others read"));
             } else {
                 scheduleCheck(
-                        Math.round(begun.silenceMillis() / CHECKS_PER_SILENCE_LIMIT), asked, engine, decoder, begun);
+                        Math.round(begun.unresponsiveLimitMillis() / CHECKS_PER_SILENCE_LIMIT),
+                        asked,
+                        engine,
+                        decoder,
+                        begun);
             }
         });
     }
 
     private void answered(Endpoint engine, Endpoint decoder, HttpResponse answer, ByteBuf body, long sentAt) {
-        ReadingPool<Endpoint>.Reading begun = prefill;
+        PrefillPlanner<Endpoint>.Prefill begun = prefill;
         String text = ReplyCollector.text(body);
         body.release();
         // A handle of an ended life may be another prompt's in the next.
@@ -174,7 +182,7 @@
                 : Optional.empty();
         double millis = (context.now() - sentAt) / 1e6;
         if (handle.isPresent() && begun != null) {
-            begun.read(context.now(), millis, deadline.remaining().objectiveMillis());
+            begun.completed(context.now(), millis, deadline.remaining().objectiveMillis());
         }
         end();
         if (handle.isEmpty()) {
@@ -220,9 +228,9 @@
     private void end() {
         cancel(checkTimer);
         cancel(giveUpTimer);
-        ReadingPool<Endpoint>.Reading begun = prefill;
+        PrefillPlanner<Endpoint>.Prefill begun = prefill;
         if (begun != null) {
-            begun.ended();
+            begun.aborted();
             prefill = null;
         }
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Optional;
 import org.quetzalseam.core.fleet.Stage;
-import org.quetzalseam.core.generation.ReadingInPlace;
-import org.quetzalseam.core.generation.ReadingLine;
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.InPlacePrefill;
+import org.quetzalseam.core.generation.PrefillPlanner;
+import org.quetzalseam.core.generation.PrefillQueue;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.entry.EntryCount;
 
@@ -22,8 +22,8 @@
     private final RunContext context;
     private final String service;
     private final PrefillEngines engines;
-    private final ReadingInPlace<Endpoint> inPlace = new ReadingInPlace<>();
-    private final ReadingLine<PrefillRequest> queue = new ReadingLine<>();
+    private final InPlacePrefill<Endpoint> inPlace = new InPlacePrefill<>();
+    private final PrefillQueue<PrefillRequest> queue = new PrefillQueue<>();
     private boolean checkScheduled;
 
     PrefillScheduler(RunContext context, String service, PrefillEngines readers) {
@@ -33,19 +33,20 @@
         context.timers()
                 .every(
                         FORGET_INTERVAL_MILLIS,
-                        () -> inPlace.forget(engine -> !context.directory().usable(engine)));
+                        () -> inPlace.removeEngines(
+                                engine -> !context.directory().usable(engine)));
     }
 
     /** Sets among how many entries the engines are divided, and this one's place among them. */
     void entries(EntryCount counted) {
-        inPlace.entries(counted.entries(), counted.rank());
+        inPlace.updateEntries(counted.entries(), counted.rank());
     }
 
     /** Lets a prompt begin when it is its turn; its outcome may follow before this call returns. */
     void submit(PrefillRequest turn) {
-        ReadingPool.Due due = turn.remaining();
+        PrefillPlanner.Deadline due = turn.remaining();
         if (queue.mustQueue(due, context.now()) || !decide(turn, due)) {
-            turn.queueEntry(queue.enter(turn, due, context.now()));
+            turn.queueEntry(queue.add(turn, due, context.now()));
             best(turn)
                     .ifPresent(engine ->
                             turn.logQueued(engine, judge(turn, engine, due), describeInputs(turn, engine, due)));
@@ -55,14 +56,14 @@
 
     /** Takes a prompt out that isn't to be read any more. Harmless when it doesn't wait. */
     void remove(PrefillRequest turn) {
-        ReadingLine<PrefillRequest>.Place place = turn.queueEntry();
+        PrefillQueue<PrefillRequest>.Position place = turn.queueEntry();
         if (place != null) {
-            queue.leave(place);
+            queue.remove(place);
         }
     }
 
     /** Begins or refuses a prompt, if either is due. */
-    private boolean decide(PrefillRequest turn, ReadingPool.Due due) {
+    private boolean decide(PrefillRequest turn, PrefillPlanner.Deadline due) {
         Optional<Endpoint> best = best(turn);
         if (best.isEmpty()) {
             remove(turn);
@@ -77,8 +78,8 @@
      * A prompt that a prefill engine would read too late goes to a decode engine that is in time with it; once, as one without room
      * has none for it soon. Those who are late anyway don't hold up others' streams.
      */
-    private boolean tryDecodeEngine(PrefillRequest turn, Endpoint reader, ReadingPool.Due due) {
-        boolean inTimeHere = due.inTimeMillis() > turn.promptTokens() * engines.millisPerToken();
+    private boolean tryDecodeEngine(PrefillRequest turn, Endpoint reader, PrefillPlanner.Deadline due) {
+        boolean inTimeHere = due.untilObjectiveMillis() > turn.promptTokens() * engines.millisPerToken();
         if (turn.triedInPlace() || !inTimeHere || !engines.missesObjective(reader, turn.promptTokens(), due)) {
             return false;
         }
@@ -90,16 +91,16 @@
         return decoder.isPresent();
     }
 
-    private boolean tryPrefillEngine(PrefillRequest turn, Endpoint reader, ReadingPool.Due due) {
-        ReadingPool.Verdict verdict = judge(turn, reader, due);
-        if (verdict == ReadingPool.Verdict.BEGIN) {
+    private boolean tryPrefillEngine(PrefillRequest turn, Endpoint reader, PrefillPlanner.Deadline due) {
+        PrefillPlanner.Verdict verdict = judge(turn, reader, due);
+        if (verdict == PrefillPlanner.Verdict.BEGIN) {
             remove(turn);
             turn.beginPrefill(Optional.of(reader));
             return true;
         }
-        ReadingLine<PrefillRequest>.Place place = turn.queueEntry();
-        boolean waitedLong = place != null && place.expired(context.now());
-        if (waitedLong || verdict == ReadingPool.Verdict.CALLER_LEAVES_SOONER) {
+        PrefillQueue<PrefillRequest>.Position place = turn.queueEntry();
+        boolean waitedLong = place != null && place.hasExpired(context.now());
+        if (waitedLong || verdict == PrefillPlanner.Verdict.CALLER_LEAVES_SOONER) {
             remove(turn);
             turn.refuse(reader, verdict, describeInputs(turn, reader, due));
             return true;
@@ -111,12 +112,12 @@
         return engines.best(turn.promptTokens(), List.of(), context.settings().zone());
     }
 
-    private ReadingPool.Verdict judge(PrefillRequest turn, Endpoint reader, ReadingPool.Due due) {
+    private PrefillPlanner.Verdict judge(PrefillRequest turn, Endpoint reader, PrefillPlanner.Deadline due) {
         return engines.judge(reader, turn.promptTokens(), due);
     }
 
-    private String describeInputs(PrefillRequest turn, Endpoint reader, ReadingPool.Due due) {
-        ReadingLine<PrefillRequest>.Place place = turn.queueEntry();
+    private String describeInputs(PrefillRequest turn, Endpoint reader, PrefillPlanner.Deadline due) {
+        PrefillQueue<PrefillRequest>.Position place = turn.queueEntry();
         long waited = place == null ? 0 : place.waitedMillis(context.now());
         return engines.describeInputs(reader, turn.promptTokens(), due) + " waited_ms=" + waited + " waiting="
                 + queue.size();
@@ -126,7 +127,7 @@
     private Optional<Endpoint> decoder(PrefillRequest turn) {
         long now = context.now();
         double pace = engines.millisPerToken();
-        Optional<Endpoint> engine = inPlace.engine(
+        Optional<Endpoint> engine = inPlace.selectEngine(
                         context.directory().usable(service, Stage.DECODE),
                         candidate -> candidate.member().id(),
                         turn.promptTokens(),
@@ -154,8 +155,8 @@
     /** Lets at most one begin or end: what a prompt takes of the engines' time shows only when it is sent. */
     private void checkQueue() {
         int before = queue.size();
-        for (ReadingLine<PrefillRequest>.Place place : queue.order(context.now())) {
-            PrefillRequest turn = place.waiting();
+        for (PrefillQueue<PrefillRequest>.Position place : queue.inOrder(context.now())) {
+            PrefillRequest turn = place.prompt();
             decide(turn, turn.remaining());
             if (queue.size() < before) {
                 return;
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
-import org.quetzalseam.core.drain.AnswerTime;
+import org.quetzalseam.core.drain.AnswerTimeModel;
 import org.quetzalseam.core.drain.GracePeriod;
 import org.quetzalseam.core.fleet.Stage;
-import org.quetzalseam.core.limits.CallerPatience;
 import org.quetzalseam.core.limits.ConnectionShare;
+import org.quetzalseam.core.limits.EarlierWaitEstimator;
 import org.quetzalseam.core.limits.RetryAllowance;
 import org.quetzalseam.core.routing.RouteRule;
 import org.quetzalseam.core.routing.ServiceRule;
@@ -48,8 +48,8 @@
     private @Nullable GracePeriod grace;
     private List<ServiceRule> services = List.of();
     private final Map<String, RetryAllowance> retries = new HashMap<>();
-    private final Map<String, CallerPatience> callerWaits = new HashMap<>();
-    private final Map<String, AnswerTime> answerTimes = new HashMap<>();
+    private final Map<String, EarlierWaitEstimator> callerWaits = new HashMap<>();
+    private final Map<String, AnswerTimeModel> answerTimes = new HashMap<>();
     private final Map<String, BookingManager> bookings = new HashMap<>();
 
     RunContext(Timers timers, Protocol protocol, Directory directory, EntrySettings settings, GatewayMetrics metrics) {
@@ -81,7 +81,7 @@
         settings = renewed;
         retries.values()
                 .forEach(allowance ->
-                        allowance.change(renewed.retryRatio(), renewed.retrySlack(), windowNanos(renewed)));
+                        allowance.updateBudget(renewed.retryRatio(), renewed.retrySlack(), windowNanos(renewed)));
     }
 
     GatewayMetrics metrics() {
@@ -114,7 +114,7 @@
     }
 
     private boolean acquireRetries(String service, int count) {
-        boolean allowed = retries(service).retries(now(), count);
+        boolean allowed = retries(service).tryRetries(now(), count);
         metrics.retry(service, allowed);
         return allowed;
     }
@@ -126,7 +126,7 @@
         return String.format(
                 Locale.ROOT,
                 "budget_left=%d budget_requests=%d budget_retries=%d budget_slack=%.1f entries=%d up_ms=%d",
-                inputs.left(),
+                inputs.retriesLeft(),
                 inputs.requests(),
                 inputs.retries(),
                 inputs.slack(),
@@ -156,7 +156,7 @@
 
     void entries(EntryCount counted) {
         entries = counted;
-        retries.values().forEach(allowance -> allowance.entries(counted.entries()));
+        retries.values().forEach(allowance -> allowance.updateEntryCount(counted.entries()));
         bookings.values().forEach(desk -> desk.entries(counted));
         shareConnections();
     }
@@ -183,7 +183,7 @@
                 new RetryAllowance(settings.retryRatio(), settings.retrySlack(), windowNanos(settings), createdAt);
         EntryCount counted = entries;
         if (counted != null) {
-            allowance.entries(counted.entries());
+            allowance.updateEntryCount(counted.entries());
         }
         return allowance;
     }
@@ -192,8 +192,8 @@
         return TimeUnit.MILLISECONDS.toNanos(settings.retryWindowMillis());
     }
 
-    CallerPatience callerWaits(String route) {
-        return callerWaits.computeIfAbsent(route, name -> new CallerPatience());
+    EarlierWaitEstimator callerWaits(String route) {
+        return callerWaits.computeIfAbsent(route, name -> new EarlierWaitEstimator());
     }
 
     /** Notes that the process has been told to stop. Being told again doesn't put the end off. */
@@ -217,20 +217,20 @@
             return true;
         }
         long limit = new ForwardedRequest(exchange, protocol, route).remainingMillis();
-        long usual = answerTime(route).boundMillis(exchange.facts().estimate(), period.certainty(now()));
+        long usual = answerTime(route).boundMillis(exchange.facts().estimate(), period.requiredDeviations(now()));
         long bound = Math.min(limit, usual);
-        if (period.take(now(), bound)) {
+        if (period.accept(now(), bound)) {
             return true;
         }
         logger.atInfo().log(
                 "event=refused-leaving request=%s bound_ms=%d left_ms=%d age_ms=%d",
-                exchange.facts().id(), bound, period.leftMillis(now()), exchange.ageMillis());
+                exchange.facts().id(), bound, period.remainingMillis(now()), exchange.ageMillis());
         return false;
     }
 
     /** Returns what is known of the time that a route's answers take. */
-    AnswerTime answerTime(RouteRule route) {
-        return answerTimes.computeIfAbsent(route.name(), name -> new AnswerTime());
+    AnswerTimeModel answerTime(RouteRule route) {
+        return answerTimes.computeIfAbsent(route.name(), name -> new AnswerTimeModel());
     }
 
     BookingManager bookings(String service) {
@@ -249,7 +249,7 @@
     /** Refuses a request because this entry stops before it would end. */
     void refuseDraining(Exchange exchange) {
         GracePeriod period = Objects.requireNonNull(grace, "not leaving");
-        answerRefused(exchange, STOPS_SOONER, period.comeBackMillis(now(), random()));
+        answerRefused(exchange, STOPS_SOONER, period.retryAfterMillis(now(), random()));
     }
 
     /** Refuses a request that has not run and won't, and says when to come back. */
@@ -258,7 +258,7 @@
         answerRefused(
                 exchange,
                 why,
-                period == null ? comeBackMillis : period.comeBackMillis(now(), random(), comeBackMillis));
+                period == null ? comeBackMillis : period.retryAfterMillis(now(), random(), comeBackMillis));
     }
 
     private static double random() {
