--- a/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryRegistry.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryRegistry.java
@@ -59,11 +59,11 @@
      * @param self this entry's name
      * @param listener takes the number of entries and this one's rank, whenever either has changed
      */
-    public EntryRegistry(Timers timers, ObjectStore store, String self, Consumer<EntryCount> counted) {
+    public EntryRegistry(Timers timers, ObjectStore store, String self, Consumer<EntryCount> listener) {
         this.timers = timers;
         this.store = store;
         this.self = self;
-        this.listener = counted;
+        this.listener = listener;
     }
 
     /** Leaves this entry's name and begins to count. */
@@ -123,14 +123,14 @@
         logger.atInfo().log("event=census-failed kind=%s detail=\"%s\"", failure.kind(), failure.detail());
     }
 
-    private void updateEra(long seen) {
-        if (registered && seen != era) {
-            logger.atInfo().log("event=census-restored era_before=%d era=%d", era, seen);
+    private void updateEra(long currentEra) {
+        if (registered && currentEra != era) {
+            logger.atInfo().log("event=census-restored era_before=%d era=%d", era, currentEra);
             registered = false;
             storeWasRestored = true;
             restoredAtNanos = timers.now();
         }
-        era = seen;
+        era = currentEra;
     }
 
     private void handlePage(ObjectPage page) {
@@ -140,9 +140,8 @@
             // Whoever removed it, this entry lives; an old answer may also lack it, and leaving it again does no harm.
             registered = false;
         }
-        int before =
-                (int) names.stream().filter(name -> name.compareTo(self) < 0).count();
-        EntryCount count = new EntryCount(names.size(), before);
+        int rank = (int) names.stream().filter(name -> name.compareTo(self) < 0).count();
+        EntryCount count = new EntryCount(names.size(), rank);
         if (count.equals(lastCount) || mayBeTooLow(count)) {
             return;
         }
@@ -151,10 +150,10 @@
         listener.accept(count);
     }
 
-    private boolean mayBeTooLow(EntryCount count) {
+    private boolean mayBeTooLow(EntryCount newCount) {
         EntryCount last = lastCount;
         return last != null
-                && count.entries() < last.entries()
+                && newCount.entries() < last.entries()
                 && storeWasRestored
                 && timers.now() - restoredAtNanos < RESTORE_HOLD_NANOS;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
@@ -94,15 +94,15 @@
     }
 
     /** Takes a generation in; its outcome follows, never before this call returns. */
-    void submit(BookingRequest reservation) {
-        waiting.add(reservation);
+    void submit(BookingRequest request) {
+        waiting.add(request);
         context.timers().soon(this::checkQueue);
     }
 
     /** Takes a generation out that needs no memory any more. */
-    void remove(BookingRequest reservation) {
-        reservation.cancel();
-        waiting.remove(reservation);
+    void remove(BookingRequest request) {
+        request.cancel();
+        waiting.remove(request);
     }
 
     /** Returns how much memory is booked for a generation. */
@@ -127,13 +127,13 @@
     }
 
     /** Notes how long a generation took from its arrival to its end, and how many events it made. */
-    void recordEnded(long millis, RequestFacts facts, long events) {
+    void recordEnded(long tookMillis, RequestFacts facts, long events) {
         TokenDemand demand = facts.demand();
         if (demand != null && facts.resumesAfter() == null) {
             booking.ended(demand, (double) events);
         }
         typicalCount++;
-        typicalMillis += Math.max(NEWEST_WEIGHT, 1.0 / typicalCount) * (millis - typicalMillis);
+        typicalMillis += Math.max(NEWEST_WEIGHT, 1.0 / typicalCount) * (tookMillis - typicalMillis);
     }
 
     /**
@@ -159,16 +159,16 @@
     private void checkQueue() {
         long now = context.now();
         List<BookingRequest> order = new ArrayList<>(waiting);
-        order.sort(Comparator.<BookingRequest, Boolean>comparing(reservation -> reservation.isLate(now))
+        order.sort(Comparator.<BookingRequest, Boolean>comparing(request -> request.isLate(now))
                 .thenComparingDouble(BookingRequest::cost));
-        for (BookingRequest reservation : order) {
-            if (reservation.finished()) {
-                waiting.remove(reservation);
-            } else if (now - reservation.waitUntil() >= 0 && !reservation.inquiring()) {
-                waiting.remove(reservation);
-                reservation.refuse(null);
-            } else if (!reservation.inquiring()) {
-                askBestEngine(reservation, now);
+        for (BookingRequest request : order) {
+            if (request.finished()) {
+                waiting.remove(request);
+            } else if (now - request.waitUntil() >= 0 && !request.inquiring()) {
+                waiting.remove(request);
+                request.refuse(null);
+            } else if (!request.inquiring()) {
+                askBestEngine(request, now);
             }
         }
         scheduleCheck();
@@ -184,80 +184,80 @@
         }
     }
 
-    private void askBestEngine(BookingRequest reservation, long now) {
+    private void askBestEngine(BookingRequest request, long now) {
         List<Endpoint> engines =
                 EngineExclusion.withoutExcluded(context.directory().usable(service, Stage.DECODE), now);
         if (engines.isEmpty()) {
-            waiting.remove(reservation);
-            reservation.refuse("no decode engine");
+            waiting.remove(request);
+            request.refuse("no decode engine");
             return;
         }
-        Optional<Endpoint> engine = engines.stream()
-                .filter(candidate -> reservation.accepts(candidate) && mayHaveRoom(candidate, reservation, now))
+        Optional<Endpoint> best = engines.stream()
+                .filter(candidate -> request.accepts(candidate) && mayHaveRoom(candidate, request, now))
                 .min(Comparator.<Endpoint, Boolean>comparing(
                                 candidate -> candidate.health().suspect(now))
                         .thenComparingInt(candidate -> bookedTokens.getOrDefault(candidate, 0))
                         .thenComparing(candidate -> ThreadLocalRandom.current().nextInt()));
-        if (engine.isEmpty() && reservation.refusedWhenFull()) {
-            waiting.remove(reservation);
-            reservation.refuse(null);
+        if (best.isEmpty() && request.refusedWhenFull()) {
+            waiting.remove(request);
+            request.refuse(null);
         }
-        engine.ifPresent(chosen -> ask(reservation, chosen));
+        best.ifPresent(chosen -> ask(request, chosen));
     }
 
-    private boolean mayHaveRoom(Endpoint engine, BookingRequest reservation, long now) {
+    private boolean mayHaveRoom(Endpoint engine, BookingRequest request, long now) {
         if (inquiries.getOrDefault(engine, 0) >= MAX_INQUIRIES_PER_ENGINE || !engine.reachable()) {
             return false;
         }
         Refusal refusal = refusals.get(engine);
-        long pause = reservation.isLate(now) ? LATE_RETRY_PAUSE_NANOS : RETRY_PAUSE_NANOS;
-        return refusal == null || now - refusal.at() > pause || reservation.tokens() < refusal.tokens();
+        long pauseNanos = request.isLate(now) ? LATE_RETRY_PAUSE_NANOS : RETRY_PAUSE_NANOS;
+        return refusal == null || now - refusal.at() > pauseNanos || request.tokens() < refusal.tokens();
     }
 
-    private void ask(BookingRequest reservation, Endpoint engine) {
-        reservation.inquiring(true);
+    private void ask(BookingRequest request, Endpoint engine) {
+        request.inquiring(true);
         inquiries.merge(engine, 1, Integer::sum);
-        book(engine, reservation.tokens(), new BookingListener() {
+        book(engine, request.tokens(), new BookingListener() {
             @Override
             public void booked(String id) {
-                checkSpareRoom(reservation, engine, id);
+                checkSpareRoom(request, engine, id);
             }
 
             @Override
             public void full() {
-                refused(reservation, engine);
+                refused(request, engine);
             }
 
             @Override
             public void failed(CallFailure failure) {
-                unanswered(reservation, engine, failure);
+                unanswered(request, engine, failure);
             }
         });
     }
 
     /** The usual size is booked; the room that a long one needs has to be free, but doesn't stay booked. */
-    private void checkSpareRoom(BookingRequest reservation, Endpoint engine, String id) {
-        if (reservation.finished() || reservation.room() == 0) {
-            granted(reservation, engine, id);
+    private void checkSpareRoom(BookingRequest request, Endpoint engine, String id) {
+        if (request.finished() || request.room() == 0) {
+            granted(request, engine, id);
             return;
         }
-        book(engine, reservation.room(), new BookingListener() {
+        book(engine, request.room(), new BookingListener() {
             @Override
             public void booked(String room) {
                 release(engine, room);
-                granted(reservation, engine, id);
+                granted(request, engine, id);
             }
 
             @Override
             public void full() {
                 release(engine, id);
-                refused(reservation, engine);
+                refused(request, engine);
             }
 
             @Override
             public void failed(CallFailure failure) {
                 release(engine, id);
-                unanswered(reservation, engine, failure);
+                unanswered(request, engine, failure);
             }
         });
     }
@@ -271,7 +271,7 @@
         void failed(CallFailure failure);
     }
 
-    private void book(Endpoint engine, int tokens, BookingListener outcome) {
+    private void book(Endpoint engine, int tokens, BookingListener listener) {
         WholeReply reply = new WholeReply(
                 MAX_REPLY_BYTES,
                 (head, body) -> {
@@ -279,36 +279,36 @@
                     body.release();
                     Optional<String> id =
                             head.status().code() == 200 ? context.protocol().bookingId(text) : Optional.empty();
-                    id.ifPresentOrElse(outcome::booked, outcome::full);
+                    id.ifPresentOrElse(listener::booked, listener::full);
                 },
-                outcome::failed);
+                listener::failed);
         engine.control(context.protocol().bookMemory(tokens, BOOKING_LIFETIME_MILLIS), ANSWER_TIMEOUT_MILLIS, reply);
     }
 
-    private void refused(BookingRequest reservation, Endpoint engine) {
-        recordAnswer(reservation, engine);
-        refusals.put(engine, new Refusal(context.now(), reservation.tokens()));
+    private void refused(BookingRequest request, Endpoint engine) {
+        recordAnswer(request, engine);
+        refusals.put(engine, new Refusal(context.now(), request.tokens()));
         checkQueue();
     }
 
-    private void granted(BookingRequest reservation, Endpoint engine, String id) {
-        recordAnswer(reservation, engine);
-        if (reservation.finished()) {
+    private void granted(BookingRequest request, Endpoint engine, String id) {
+        recordAnswer(request, engine);
+        if (request.finished()) {
             release(engine, id);
             return;
         }
-        waiting.remove(reservation);
-        bookedTokens.merge(engine, reservation.tokens(), Integer::sum);
-        reservation.grant(engine, id);
+        waiting.remove(request);
+        bookedTokens.merge(engine, request.tokens(), Integer::sum);
+        request.grant(engine, id);
     }
 
-    private void recordAnswer(BookingRequest reservation, Endpoint engine) {
-        reservation.inquiring(false);
+    private void recordAnswer(BookingRequest request, Endpoint engine) {
+        request.inquiring(false);
         inquiries.merge(engine, -1, Integer::sum);
     }
 
-    private void unanswered(BookingRequest reservation, Endpoint engine, CallFailure failure) {
-        recordAnswer(reservation, engine);
+    private void unanswered(BookingRequest request, Endpoint engine, CallFailure failure) {
+        recordAnswer(request, engine);
         engine.health().failed(context.now());
         refusals.put(engine, new Refusal(context.now(), 0));
         logger.atInfo().log(
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingRequest.java
@@ -41,16 +41,16 @@
             int room,
             double cost,
             long inTimeUntil,
-            long until,
-            @Nullable Endpoint only,
-            Listener outcome) {
+            long waitUntil,
+            @Nullable Endpoint requiredEngine,
+            Listener listener) {
         this.tokens = tokens;
         this.room = room;
         this.cost = cost;
         this.inTimeUntil = inTimeUntil;
-        this.waitUntil = until;
-        this.requiredEngine = only;
-        this.listener = outcome;
+        this.waitUntil = waitUntil;
+        this.requiredEngine = requiredEngine;
+        this.listener = listener;
     }
 
     int tokens() {
@@ -87,9 +87,9 @@
         return inquiring;
     }
 
-    void inquiring(boolean now) {
-        inquiring = now;
-        inquiries += now ? 1 : 0;
+    void inquiring(boolean isInquiring) {
+        inquiring = isInquiring;
+        inquiries += isInquiring ? 1 : 0;
     }
 
     /** Returns how many engines' answers it has asked for. */
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/DecodeReply.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/DecodeReply.java
@@ -37,9 +37,9 @@
     private @Nullable HttpResponse head;
     private boolean streaming;
 
-    DecodeReply(Protocol protocol, Listener outcome) {
+    DecodeReply(Protocol protocol, Listener listener) {
         this.protocol = protocol;
-        this.listener = outcome;
+        this.listener = listener;
     }
 
     @Override
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EngineExclusion.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EngineExclusion.java
@@ -12,8 +12,8 @@
      * is most likely not theirs, such as caches that lapse or a network that has slowed down.
      */
     static List<Endpoint> withoutExcluded(List<Endpoint> engines, long now) {
-        List<Endpoint> left =
+        List<Endpoint> remaining =
                 engines.stream().filter(engine -> !engine.leftOut(now)).toList();
-        return 2 * left.size() >= engines.size() ? left : engines;
+        return 2 * remaining.size() >= engines.size() ? remaining : engines;
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EventStreamParser.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EventStreamParser.java
@@ -47,42 +47,42 @@
             throw new IllegalStateException("an event is longer than " + MAX_EVENT_BYTES + " bytes");
         }
         int end = scan();
-        ByteBuf whole = Unpooled.copiedBuffer(buffered.slice(buffered.readerIndex(), end - buffered.readerIndex()));
+        ByteBuf complete = Unpooled.copiedBuffer(buffered.slice(buffered.readerIndex(), end - buffered.readerIndex()));
         buffered.readerIndex(end);
         buffered.discardReadBytes();
-        return whole;
+        return complete;
     }
 
     /** Walks the lines, counts events and notes ids. Returns the index after the last whole event. */
     private int scan() {
         int endOfEvents = buffered.readerIndex();
-        int line = buffered.readerIndex();
+        int lineStart = buffered.readerIndex();
         @Nullable String id = null;
         while (true) {
-            int newline = buffered.indexOf(line, buffered.writerIndex(), (byte) '\n');
+            int newline = buffered.indexOf(lineStart, buffered.writerIndex(), (byte) '\n');
             if (newline < 0) {
                 return endOfEvents;
             }
-            int length = newline - line;
-            if (length == 0 || (length == 1 && buffered.getByte(line) == '\r')) {
+            int length = newline - lineStart;
+            if (length == 0 || (length == 1 && buffered.getByte(lineStart) == '\r')) {
                 endOfEvents = newline + 1;
                 eventCount++;
                 lastId = id == null ? lastId : id;
                 id = null;
-            } else if (startsWithIdField(line, length)) {
-                id = buffered.toString(line + ID_FIELD.length, length - ID_FIELD.length, StandardCharsets.US_ASCII)
+            } else if (startsWithIdField(lineStart, length)) {
+                id = buffered.toString(lineStart + ID_FIELD.length, length - ID_FIELD.length, StandardCharsets.US_ASCII)
                         .strip();
             }
-            line = newline + 1;
+            lineStart = newline + 1;
         }
     }
 
-    private boolean startsWithIdField(int line, int length) {
+    private boolean startsWithIdField(int lineStart, int length) {
         if (length < ID_FIELD.length) {
             return false;
         }
         for (int i = 0; i < ID_FIELD.length; i++) {
-            if (buffered.getByte(line + i) != ID_FIELD[i]) {
+            if (buffered.getByte(lineStart + i) != ID_FIELD[i]) {
                 return false;
             }
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
@@ -11,11 +11,11 @@
     private final ForwardedRequest forwarded;
     private final long earlierAttemptsMillis;
 
-    FirstEventDeadline(Exchange exchange, RouteRule route, ForwardedRequest forwarded, long spentBefore) {
+    FirstEventDeadline(Exchange exchange, RouteRule route, ForwardedRequest forwarded, long earlierAttemptsMillis) {
         this.exchange = exchange;
         this.route = route;
         this.forwarded = forwarded;
-        this.earlierAttemptsMillis = spentBefore;
+        this.earlierAttemptsMillis = earlierAttemptsMillis;
     }
 
     /** Returns the longest pause between events that is in time, in milliseconds; 0 where there is no such objective. */
@@ -25,8 +25,8 @@
 
     /** Returns what is left at this moment: an answer whose first event comes after its caller has given up is of no use. */
     ReadingPool.Due remaining() {
-        double inTime = (double) route.targetMillis() - exchange.ageMillis() - earlierAttemptsMillis;
-        long left = Math.min(forwarded.remainingMillis(), route.silenceMillis() - exchange.ageMillis());
-        return new ReadingPool.Due(inTime, (double) left, (double) route.targetMillis());
+        double toObjective = (double) route.targetMillis() - exchange.ageMillis() - earlierAttemptsMillis;
+        long toTimeout = Math.min(forwarded.remainingMillis(), route.silenceMillis() - exchange.ageMillis());
+        return new ReadingPool.Due(toObjective, (double) toTimeout, (double) route.targetMillis());
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
@@ -40,21 +40,21 @@
     GenerationAdmission(
             RunContext context,
             String service,
-            FirstEventDeadline due,
-            long spentBefore,
+            FirstEventDeadline deadline,
+            long earlierAttemptsMillis,
             RunLog log,
-            Listener outcome) {
+            Listener listener) {
         this.context = context;
         this.service = service;
-        this.deadline = due;
-        this.earlierAttemptsMillis = spentBefore;
+        this.deadline = deadline;
+        this.earlierAttemptsMillis = earlierAttemptsMillis;
         this.log = log;
-        this.listener = outcome;
+        this.listener = listener;
         this.bookings = context.bookings(service);
     }
 
     void start(TokenDemand demand) {
-        PrefillRequest wanted = new PrefillRequest(demand.prompt(), deadline, log, new PrefillRequest.Listener() {
+        PrefillRequest newRequest = new PrefillRequest(demand.prompt(), deadline, log, new PrefillRequest.Listener() {
             @Override
             public void beginPrefill(Optional<Endpoint> reader) {
                 prefillRequest = null;
@@ -74,28 +74,28 @@
                 listener.refused(PrefillRun.NOT_BEGUN_REASON);
             }
         });
-        prefillRequest = wanted;
-        bookings.prefillScheduler().submit(wanted);
+        prefillRequest = newRequest;
+        bookings.prefillScheduler().submit(newRequest);
     }
 
-    private void requestBooking(TokenDemand demand, long inTime, @Nullable Endpoint only) {
+    private void requestBooking(TokenDemand demand, long inTimeMillis, @Nullable Endpoint requiredEngine) {
         int tokens = bookings.booking().tokens(demand);
         long now = context.now();
-        long left = Math.round(deadline.remaining().leftMillis());
-        long wait = Math.min(inTime > 0 ? inTime : LATE_WAIT_MILLIS, left);
-        BookingRequest wanted = new BookingRequest(
+        long remainingMillis = Math.round(deadline.remaining().leftMillis());
+        long waitMillis = Math.min(inTimeMillis > 0 ? inTimeMillis : LATE_WAIT_MILLIS, remainingMillis);
+        BookingRequest newRequest = new BookingRequest(
                 tokens,
                 bookings.booking().room(demand),
                 bookings.booking().cost(demand),
-                now + TimeUnit.MILLISECONDS.toNanos(inTime),
-                now + TimeUnit.MILLISECONDS.toNanos(wait),
-                only,
+                now + TimeUnit.MILLISECONDS.toNanos(inTimeMillis),
+                now + TimeUnit.MILLISECONDS.toNanos(waitMillis),
+                requiredEngine,
                 new BookingRequest.Listener() {
                     @Override
                     public void granted(Endpoint engine, String id) {
                         bookingRequest = null;
                         prefillRequest = null;
-                        listener.booked(new BookedMemory(engine, id, tokens, only != null));
+                        listener.booked(new BookedMemory(engine, id, tokens, requiredEngine != null));
                     }
 
                     @Override
@@ -103,21 +103,21 @@
                         bookingRefused(why);
                     }
                 });
-        bookingRequest = wanted;
-        bookings.submit(wanted);
+        bookingRequest = newRequest;
+        bookings.submit(newRequest);
     }
 
     /** Where the one engine that was to read the prompt itself has no room, the prompt takes its turn among the others. */
     private void bookingRefused(String why) {
-        BookingRequest wanted = bookingRequest;
+        BookingRequest refusedRequest = bookingRequest;
         bookingRequest = null;
-        if (wanted != null) {
+        if (refusedRequest != null) {
             int engines = context.directory().usable(service, Stage.DECODE).size();
-            log.notBooked(wanted, engines, earlierAttemptsMillis, why);
+            log.notBooked(refusedRequest, engines, earlierAttemptsMillis, why);
         }
-        PrefillRequest inPlace = prefillRequest;
-        if (inPlace != null) {
-            bookings.prefillScheduler().submit(inPlace);
+        PrefillRequest triedInPlace = prefillRequest;
+        if (triedInPlace != null) {
+            bookings.prefillScheduler().submit(triedInPlace);
         } else {
             listener.refused(why);
         }
@@ -125,14 +125,14 @@
 
     /** Gives the wait up. Harmless when it is over. */
     void cancel() {
-        PrefillRequest waiting = prefillRequest;
-        if (waiting != null) {
-            bookings.prefillScheduler().remove(waiting);
+        PrefillRequest queuedPrefill = prefillRequest;
+        if (queuedPrefill != null) {
+            bookings.prefillScheduler().remove(queuedPrefill);
             prefillRequest = null;
         }
-        BookingRequest wanted = bookingRequest;
-        if (wanted != null) {
-            bookings.remove(wanted);
+        BookingRequest queuedBooking = bookingRequest;
+        if (queuedBooking != null) {
+            bookings.remove(queuedBooking);
             bookingRequest = null;
         }
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
@@ -78,7 +78,7 @@
     }
 
     private void bookMemory(TokenDemand demand) {
-        GenerationAdmission wait = new GenerationAdmission(
+        GenerationAdmission newAdmission = new GenerationAdmission(
                 context, service, deadline, earlierAttemptsMillis, log, new GenerationAdmission.Listener() {
                     @Override
                     public void booked(BookedMemory memory) {
@@ -91,8 +91,8 @@
                         giveUp(why);
                     }
                 });
-        admission = wait;
-        wait.start(demand);
+        admission = newAdmission;
+        newAdmission.start(demand);
     }
 
     private void decodeUnbooked() {
@@ -122,7 +122,7 @@
     private void prefillPrompt(BookedMemory booked) {
         TokenDemand demand = exchange.facts().demand();
         int promptTokens = demand == null ? 0 : demand.prompt();
-        PrefillRun prompt = new PrefillRun(
+        PrefillRun newPrefill = new PrefillRun(
                 context, exchange, forwarded, deadline, service, promptTokens, log, new PrefillRun.Listener() {
                     @Override
                     public void prefilled(Endpoint reader, String handle) {
@@ -149,8 +149,8 @@
                         giveUp(why);
                     }
                 });
-        prefill = prompt;
-        prompt.start(booked.engine());
+        prefill = newPrefill;
+        newPrefill.start(booked.engine());
     }
 
     private void decodeBooked(BookedMemory booked) {
@@ -163,10 +163,10 @@
     }
 
     private void decode(
-            Endpoint engine, @Nullable Endpoint reader, @Nullable String kvSource, @Nullable String booking) {
+            Endpoint engine, @Nullable Endpoint prefillEngine, @Nullable String kvSource, @Nullable String booking) {
         Forwarding forwarding = new Forwarding(
                 engine.member().id(), forwarded.remainingMillis(), false, kvSource, booking, relay.resumePoint());
-        DecodeReply reply = new DecodeReply(context.protocol(), new DecodeListener(engine, reader));
+        DecodeReply reply = new DecodeReply(context.protocol(), new DecodeListener(engine, prefillEngine));
         decodeCall = engine.send(
                 forwarded.head(forwarding), exchange.body(), exchange.facts().id(), reply);
     }
@@ -175,9 +175,9 @@
         private final Endpoint engine;
         private final @Nullable Endpoint prefillEngine;
 
-        DecodeListener(Endpoint engine, @Nullable Endpoint reader) {
+        DecodeListener(Endpoint engine, @Nullable Endpoint prefillEngine) {
             this.engine = engine;
-            this.prefillEngine = reader;
+            this.prefillEngine = prefillEngine;
         }
 
         @Override
@@ -227,11 +227,11 @@
     }
 
     /** Either the engine takes nothing just now, or it couldn't have the KV cache from its reader. */
-    private void recordRefusal(Endpoint engine, @Nullable Endpoint reader) {
+    private void recordRefusal(Endpoint engine, @Nullable Endpoint prefillEngine) {
         long now = context.now();
         engine.work().turnedAway(now);
-        if (reader != null) {
-            reader.caches().turnedAway(now);
+        if (prefillEngine != null) {
+            prefillEngine.caches().turnedAway(now);
         }
     }
 
@@ -281,8 +281,8 @@
     /** The engine may have run it: it may go on only where its route says so. */
     private void resumeElsewhere(Endpoint engine, String why) {
         relay.events().discardIncompleteEvent();
-        RetryDecision next = attempts.acquireResume();
-        if (next == RetryDecision.ALLOWED) {
+        RetryDecision decision = attempts.acquireResume();
+        if (decision == RetryDecision.ALLOWED) {
             log.step(
                     "resume",
                     engine,
@@ -290,7 +290,7 @@
             statistics.recordWastedPrefill();
             startAttempt();
         } else {
-            endWithUnknownOutcome(why, next);
+            endWithUnknownOutcome(why, decision);
         }
     }
 
@@ -370,14 +370,14 @@
 
     /** Ends what runs, waits or is held for this request anywhere. */
     private void cancelWork() {
-        GenerationAdmission wait = admission;
-        if (wait != null) {
-            wait.cancel();
+        GenerationAdmission currentAdmission = admission;
+        if (currentAdmission != null) {
+            currentAdmission.cancel();
             admission = null;
         }
-        PrefillRun prompt = prefill;
-        if (prompt != null) {
-            prompt.cancel();
+        PrefillRun currentPrefill = prefill;
+        if (currentPrefill != null) {
+            currentPrefill.cancel();
             prefill = null;
         }
         EndpointCall running = decodeCall;
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
@@ -16,11 +16,11 @@
     private long prefilledAtMillis;
     private boolean prefilled;
 
-    GenerationStatistics(RunContext context, Exchange exchange, RouteRule route, BookingManager desk, RunLog log) {
+    GenerationStatistics(RunContext context, Exchange exchange, RouteRule route, BookingManager bookings, RunLog log) {
         this.context = context;
         this.exchange = exchange;
         this.route = route;
-        this.bookings = desk;
+        this.bookings = bookings;
         this.log = log;
     }
 
@@ -58,9 +58,9 @@
     }
 
     /** Notes the pace at which its caller got events, if any. */
-    void recordStreamPace(StreamPace pace, long spentBefore) {
+    void recordStreamPace(StreamPace pace, long earlierAttemptsMillis) {
         if (pace.pieces() > 0) {
-            log.streamed(pace, spentBefore);
+            log.streamed(pace, earlierAttemptsMillis);
             bookings.prefillEngines().recordFirstEvent(prefilledAtMillis, pace.firstMillis());
         }
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/HeldResources.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/HeldResources.java
@@ -9,8 +9,8 @@
     private @Nullable String unusedBooking;
     private @Nullable KvCache unusedKv;
 
-    HeldResources(BookingManager desk) {
-        this.bookings = desk;
+    HeldResources(BookingManager bookings) {
+        this.bookings = bookings;
     }
 
     /** Notes a booking, not used yet. */
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -38,23 +38,23 @@
     }
 
     /** Returns the engine that is predicted to have read a prompt first, one in the zone among equals. */
-    Optional<Endpoint> best(int tokens, Collection<Endpoint> without, String zone) {
+    Optional<Endpoint> best(int tokens, Collection<Endpoint> excluded, String zone) {
         long now = context.now();
         List<Endpoint> reachable = usable().stream()
-                .filter(engine -> !without.contains(engine) && engine.reachable())
+                .filter(engine -> !excluded.contains(engine) && engine.reachable())
                 .toList();
-        List<Endpoint> sound = reachable.stream()
+        List<Endpoint> healthy = reachable.stream()
                 .filter(engine -> !engine.health().suspect(now))
                 .toList();
         Comparator<Endpoint> ties = Comparator.<Endpoint, Boolean>comparing(
                         engine -> !engine.member().zone().equals(zone))
                 .thenComparing(engine -> ThreadLocalRandom.current().nextInt());
-        return pool.best(sound.isEmpty() ? reachable : sound, tokens, now, ties);
+        return pool.best(healthy.isEmpty() ? reachable : healthy, tokens, now, ties);
     }
 
     /** Returns whether a prompt is worth beginning at an engine. */
-    ReadingPool.Verdict judge(Endpoint engine, int tokens, ReadingPool.Due due) {
-        return pool.judge(engine, usable().size(), tokens, due, context.now());
+    ReadingPool.Verdict judge(Endpoint engine, int tokens, ReadingPool.Due remaining) {
+        return pool.judge(engine, usable().size(), tokens, remaining, context.now());
     }
 
     /** Returns the usual time of a prefill engine for a token in milliseconds; 0 before any prompt has been read. */
@@ -63,19 +63,19 @@
     }
 
     /** Returns whether a prompt's first event is predicted to miss the objective. */
-    boolean missesObjective(Endpoint engine, int tokens, ReadingPool.Due due) {
-        return firstEventMillis(engine, tokens) > due.inTimeMillis();
+    boolean missesObjective(Endpoint engine, int tokens, ReadingPool.Due remaining) {
+        return firstEventMillis(engine, tokens) > remaining.inTimeMillis();
     }
 
     /** Returns the inputs of a verdict on a prompt, for the log. */
-    String describeInputs(Endpoint engine, int tokens, ReadingPool.Due due) {
+    String describeInputs(Endpoint engine, int tokens, ReadingPool.Due remaining) {
         long now = context.now();
         return String.format(
                 "predicted_ms=%.0f queue_ms=%.0f in_time_ms=%.0f left_ms=%.0f tokens=%d share_left=%.0f",
                 pool.firstEventMillis(engine, tokens, now),
                 pool.queueMillis(engine, now),
-                due.inTimeMillis(),
-                due.leftMillis(),
+                remaining.inTimeMillis(),
+                remaining.leftMillis(),
                 tokens,
                 pool.shareLeft());
     }
@@ -86,20 +86,20 @@
     }
 
     /** Notes when a generation's prompt was read, 0 for one that no engine here has read, and when its first event came. */
-    void recordFirstEvent(long readAtMillis, long firstEventMillis) {
-        if (readAtMillis > 0 && firstEventMillis > readAtMillis) {
-            pool.firstEvent((double) (firstEventMillis - readAtMillis));
+    void recordFirstEvent(long prefilledAtMillis, long firstEventMillis) {
+        if (prefilledAtMillis > 0 && firstEventMillis > prefilledAtMillis) {
+            pool.firstEvent((double) (firstEventMillis - prefilledAtMillis));
         }
     }
 
-    ReadingPool<Endpoint>.Reading begin(Endpoint engine, int tokens, ReadingPool.Due due) {
-        return pool.begin(engine, tokens, context.now(), due.objectiveMillis());
+    ReadingPool<Endpoint>.Reading begin(Endpoint engine, int tokens, ReadingPool.Due remaining) {
+        return pool.begin(engine, tokens, context.now(), remaining.objectiveMillis());
     }
 
     /** Returns whether a reading is to be begun elsewhere. */
-    boolean isLost(ReadingPool<Endpoint>.Reading reading, Endpoint engine) {
-        boolean gone = !engine.member().leaving() && !context.directory().usable(engine);
-        return reading.lost(usable(), gone, context.now());
+    boolean isLost(ReadingPool<Endpoint>.Reading prefill, Endpoint engine) {
+        boolean removed = !engine.member().leaving() && !context.directory().usable(engine);
+        return prefill.lost(usable(), removed, context.now());
     }
 
     /** Returns when the shortest backlog lets in more, in milliseconds; 0 where nothing reads. */
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
@@ -27,11 +27,11 @@
     private ReadingLine<PrefillRequest>.@Nullable Place queueEntry;
     private boolean triedInPlace;
 
-    PrefillRequest(int promptTokens, FirstEventDeadline due, RunLog log, Listener outcome) {
+    PrefillRequest(int promptTokens, FirstEventDeadline deadline, RunLog log, Listener listener) {
         this.promptTokens = promptTokens;
-        this.deadline = due;
+        this.deadline = deadline;
         this.log = log;
-        this.listener = outcome;
+        this.listener = listener;
     }
 
     int promptTokens() {
@@ -58,26 +58,26 @@
     }
 
     /** Notes its place among those who wait. */
-    void queueEntry(ReadingLine<PrefillRequest>.Place taken) {
-        queueEntry = taken;
+    void queueEntry(ReadingLine<PrefillRequest>.Place newEntry) {
+        queueEntry = newEntry;
     }
 
     /** Notes why it has to wait. */
-    void logQueued(Endpoint reader, ReadingPool.Verdict verdict, String inputs) {
-        log.prefillQueued(reader, verdict, inputs);
+    void logQueued(Endpoint prefillEngine, ReadingPool.Verdict verdict, String inputs) {
+        log.prefillQueued(prefillEngine, verdict, inputs);
     }
 
-    void beginPrefill(Optional<Endpoint> reader) {
-        listener.beginPrefill(reader);
+    void beginPrefill(Optional<Endpoint> prefillEngine) {
+        listener.beginPrefill(prefillEngine);
     }
 
-    void beginInPlace(Endpoint decoder) {
+    void beginInPlace(Endpoint decodeEngine) {
         triedInPlace = true;
-        listener.beginInPlace(decoder);
+        listener.beginInPlace(decodeEngine);
     }
 
-    void refuse(Endpoint reader, ReadingPool.Verdict verdict, String inputs) {
-        log.prefillNotBegun(reader, verdict, inputs);
+    void refuse(Endpoint prefillEngine, ReadingPool.Verdict verdict, String inputs) {
+        log.prefillNotBegun(prefillEngine, verdict, inputs);
         listener.refused();
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -68,20 +68,20 @@
             RunContext context,
             Exchange exchange,
             ForwardedRequest forwarded,
-            FirstEventDeadline due,
+            FirstEventDeadline deadline,
             String service,
             int promptTokens,
             RunLog log,
-            Listener outcome) {
+            Listener listener) {
         this.context = context;
         this.exchange = exchange;
-        this.deadline = due;
+        this.deadline = deadline;
         this.engines = context.bookings(service).prefillEngines();
         this.forwarded = forwarded;
         this.service = service;
         this.promptTokens = promptTokens;
         this.log = log;
-        this.listener = outcome;
+        this.listener = listener;
     }
 
     /** Asks the engine that is predicted to have read the prompt first, one near the decode engine among equals. */
@@ -93,52 +93,53 @@
             return;
         }
         Endpoint engine = chosen.get();
-        ReadingPool.Due left = deadline.remaining();
-        ReadingPool.Verdict verdict = engines.judge(engine, promptTokens, left);
+        ReadingPool.Due remaining = deadline.remaining();
+        ReadingPool.Verdict verdict = engines.judge(engine, promptTokens, remaining);
         if (verdict != ReadingPool.Verdict.BEGIN) {
-            refuseOrPostpone(engine, verdict, left);
+            refuseOrPostpone(engine, verdict, remaining);
             return;
         }
-        send(engine, decoder, engines.begin(engine, promptTokens, left));
+        send(engine, decoder, engines.begin(engine, promptTokens, remaining));
     }
 
     /** Another engine's part of a prompt may have been read already, so only an untouched one can wait for its turn again. */
-    private void refuseOrPostpone(Endpoint engine, ReadingPool.Verdict verdict, ReadingPool.Due left) {
+    private void refuseOrPostpone(Endpoint engine, ReadingPool.Verdict verdict, ReadingPool.Due remaining) {
         boolean untouched = tried.isEmpty() && verdict != ReadingPool.Verdict.CALLER_LEAVES_SOONER;
         if (untouched) {
             listener.notBegun();
             return;
         }
-        log.prefillNotBegun(engine, verdict, engines.describeInputs(engine, promptTokens, left));
+        log.prefillNotBegun(engine, verdict, engines.describeInputs(engine, promptTokens, remaining));
         listener.failed(NOT_BEGUN_REASON);
     }
 
-    private void send(Endpoint engine, Endpoint decoder, ReadingPool<Endpoint>.Reading begun) {
+    private void send(Endpoint engine, Endpoint decoder, ReadingPool<Endpoint>.Reading newPrefill) {
         tried.add(engine);
-        prefill = begun;
+        prefill = newPrefill;
         long sentAt = context.now();
         WholeReply reply = new WholeReply(
                 MAX_REPLY_BYTES,
                 (answer, body) -> answered(engine, decoder, answer, body, sentAt),
                 failure -> failed(engine, decoder, failure));
-        EndpointCall asked = engine.send(
+        EndpointCall newCall = engine.send(
                 forwarded.head(Forwarding.prefill(engine.member().id(), forwarded.remainingMillis())),
                 exchange.body(),
                 exchange.facts().id(),
                 reply);
-        call = asked;
-        scheduleCheck(Math.round(begun.silenceMillis()), asked, engine, decoder, begun);
-        double left = deadline.remaining().leftMillis();
-        long until = Math.round(left - Math.min(REFUSAL_LEAD_MILLIS, MAX_REFUSAL_LEAD_SHARE * left));
-        giveUpTimer = context.after(Math.max(0, until), () -> giveUp(asked, engine));
+        call = newCall;
+        scheduleCheck(Math.round(newPrefill.silenceMillis()), newCall, engine, decoder, newPrefill);
+        double remainingMillis = deadline.remaining().leftMillis();
+        long giveUpAfterMillis =
+                Math.round(remainingMillis - Math.min(REFUSAL_LEAD_MILLIS, MAX_REFUSAL_LEAD_SHARE * remainingMillis));
+        giveUpTimer = context.after(Math.max(0, giveUpAfterMillis), () -> giveUp(newCall, engine));
     }
 
     /** Nothing has run so far, so the caller may ask elsewhere. */
-    private void giveUp(EndpointCall asked, Endpoint engine) {
-        if (!asked.active()) {
+    private void giveUp(EndpointCall prefillCall, Endpoint engine) {
+        if (!prefillCall.active()) {
             return;
         }
-        asked.cancel();
+        prefillCall.cancel();
         end();
         engine.health().failed(context.now());
         log.callFailed(
@@ -149,23 +150,31 @@
     }
 
     private void scheduleCheck(
-            long millis, EndpointCall asked, Endpoint engine, Endpoint decoder, ReadingPool<Endpoint>.Reading begun) {
+            long millis,
+            EndpointCall prefillCall,
+            Endpoint engine,
+            Endpoint decoder,
+            ReadingPool<Endpoint>.Reading checkedPrefill) {
         checkTimer = context.after(Math.max(MIN_CHECK_INTERVAL_MILLIS, millis), () -> {
-            if (!asked.active()) {
+            if (!prefillCall.active()) {
                 return;
             }
-            if (tried.size() < MAX_ENGINES && engines.isLost(begun, engine)) {
-                asked.cancel();
+            if (tried.size() < MAX_ENGINES && engines.isLost(checkedPrefill, engine)) {
+                prefillCall.cancel();
                 failed(engine, decoder, new CallFailure(CallFailure.Kind.TIMED_OUT, "silent, while others read"));
             } else {
                 scheduleCheck(
-                        Math.round(begun.silenceMillis() / CHECKS_PER_SILENCE_LIMIT), asked, engine, decoder, begun);
+                        Math.round(checkedPrefill.silenceMillis() / CHECKS_PER_SILENCE_LIMIT),
+                        prefillCall,
+                        engine,
+                        decoder,
+                        checkedPrefill);
             }
         });
     }
 
     private void answered(Endpoint engine, Endpoint decoder, HttpResponse answer, ByteBuf body, long sentAt) {
-        ReadingPool<Endpoint>.Reading begun = prefill;
+        ReadingPool<Endpoint>.Reading answeredPrefill = prefill;
         String text = WholeReply.text(body);
         body.release();
         // A handle of an ended life may be another prompt's in the next.
@@ -173,8 +182,8 @@
                 ? context.protocol().kvHandle(text)
                 : Optional.empty();
         double millis = (context.now() - sentAt) / 1e6;
-        if (handle.isPresent() && begun != null) {
-            begun.read(context.now(), millis, deadline.remaining().objectiveMillis());
+        if (handle.isPresent() && answeredPrefill != null) {
+            answeredPrefill.read(context.now(), millis, deadline.remaining().objectiveMillis());
         }
         end();
         if (handle.isEmpty()) {
@@ -188,7 +197,7 @@
         }
         engine.work().taken();
         engine.health().succeeded(context.now(), millis);
-        long predicted = begun == null ? 0 : Math.round(begun.predictedMillis());
+        long predicted = answeredPrefill == null ? 0 : Math.round(answeredPrefill.predictedMillis());
         log.step("prefilled", engine, "took_ms=" + Math.round(millis) + " predicted_ms=" + predicted);
         listener.prefilled(engine, handle.get());
     }
@@ -210,9 +219,9 @@
 
     /** Gives the reading up, if it is still under way. */
     void cancel() {
-        EndpointCall asked = call;
-        if (asked != null && asked.active()) {
-            asked.cancel();
+        EndpointCall currentCall = call;
+        if (currentCall != null && currentCall.active()) {
+            currentCall.cancel();
         }
         end();
     }
@@ -220,9 +229,9 @@
     private void end() {
         cancel(checkTimer);
         cancel(giveUpTimer);
-        ReadingPool<Endpoint>.Reading begun = prefill;
-        if (begun != null) {
-            begun.ended();
+        ReadingPool<Endpoint>.Reading currentPrefill = prefill;
+        if (currentPrefill != null) {
+            currentPrefill.ended();
             prefill = null;
         }
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -26,10 +26,10 @@
     private final ReadingLine<PrefillRequest> queue = new ReadingLine<>();
     private boolean checkScheduled;
 
-    PrefillScheduler(RunContext context, String service, PrefillEngines readers) {
+    PrefillScheduler(RunContext context, String service, PrefillEngines engines) {
         this.context = context;
         this.service = service;
-        this.engines = readers;
+        this.engines = engines;
         context.timers()
                 .every(
                         FORGET_INTERVAL_MILLIS,
@@ -42,100 +42,104 @@
     }
 
     /** Lets a prompt begin when it is its turn; its outcome may follow before this call returns. */
-    void submit(PrefillRequest turn) {
-        ReadingPool.Due due = turn.remaining();
-        if (queue.mustQueue(due, context.now()) || !decide(turn, due)) {
-            turn.queueEntry(queue.enter(turn, due, context.now()));
-            best(turn)
-                    .ifPresent(engine ->
-                            turn.logQueued(engine, judge(turn, engine, due), describeInputs(turn, engine, due)));
+    void submit(PrefillRequest request) {
+        ReadingPool.Due remaining = request.remaining();
+        if (queue.mustQueue(remaining, context.now()) || !decide(request, remaining)) {
+            request.queueEntry(queue.enter(request, remaining, context.now()));
+            best(request)
+                    .ifPresent(engine -> request.logQueued(
+                            engine, judge(request, engine, remaining), describeInputs(request, engine, remaining)));
             scheduleCheck();
         }
     }
 
     /** Takes a prompt out that isn't to be read any more. Harmless when it doesn't wait. */
-    void remove(PrefillRequest turn) {
-        ReadingLine<PrefillRequest>.Place place = turn.queueEntry();
-        if (place != null) {
-            queue.leave(place);
+    void remove(PrefillRequest request) {
+        ReadingLine<PrefillRequest>.Place entry = request.queueEntry();
+        if (entry != null) {
+            queue.leave(entry);
         }
     }
 
     /** Begins or refuses a prompt, if either is due. */
-    private boolean decide(PrefillRequest turn, ReadingPool.Due due) {
-        Optional<Endpoint> best = best(turn);
+    private boolean decide(PrefillRequest request, ReadingPool.Due remaining) {
+        Optional<Endpoint> best = best(request);
         if (best.isEmpty()) {
-            remove(turn);
-            turn.beginPrefill(best);
+            remove(request);
+            request.beginPrefill(best);
             return true;
         }
-        Endpoint reader = best.get();
-        return tryDecodeEngine(turn, reader, due) || tryPrefillEngine(turn, reader, due);
+        Endpoint prefillEngine = best.get();
+        return tryDecodeEngine(request, prefillEngine, remaining)
+                || tryPrefillEngine(request, prefillEngine, remaining);
     }
 
     /**
      * A prompt that a prefill engine would read too late goes to a decode engine that is in time with it; once, as one without room
      * has none for it soon. Those who are late anyway don't hold up others' streams.
      */
-    private boolean tryDecodeEngine(PrefillRequest turn, Endpoint reader, ReadingPool.Due due) {
-        boolean inTimeHere = due.inTimeMillis() > turn.promptTokens() * engines.millisPerToken();
-        if (turn.triedInPlace() || !inTimeHere || !engines.missesObjective(reader, turn.promptTokens(), due)) {
+    private boolean tryDecodeEngine(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
+        boolean inTimeInPlace = remaining.inTimeMillis() > request.promptTokens() * engines.millisPerToken();
+        if (request.triedInPlace()
+                || !inTimeInPlace
+                || !engines.missesObjective(prefillEngine, request.promptTokens(), remaining)) {
             return false;
         }
-        Optional<Endpoint> decoder = decoder(turn);
-        decoder.ifPresent(engine -> {
-            remove(turn);
-            turn.beginInPlace(engine);
+        Optional<Endpoint> decodeEngine = decoder(request);
+        decodeEngine.ifPresent(engine -> {
+            remove(request);
+            request.beginInPlace(engine);
         });
-        return decoder.isPresent();
+        return decodeEngine.isPresent();
     }
 
-    private boolean tryPrefillEngine(PrefillRequest turn, Endpoint reader, ReadingPool.Due due) {
-        ReadingPool.Verdict verdict = judge(turn, reader, due);
+    private boolean tryPrefillEngine(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
+        ReadingPool.Verdict verdict = judge(request, prefillEngine, remaining);
         if (verdict == ReadingPool.Verdict.BEGIN) {
-            remove(turn);
-            turn.beginPrefill(Optional.of(reader));
+            remove(request);
+            request.beginPrefill(Optional.of(prefillEngine));
             return true;
         }
-        ReadingLine<PrefillRequest>.Place place = turn.queueEntry();
-        boolean waitedLong = place != null && place.expired(context.now());
+        ReadingLine<PrefillRequest>.Place entry = request.queueEntry();
+        boolean waitedLong = entry != null && entry.expired(context.now());
         if (waitedLong || verdict == ReadingPool.Verdict.CALLER_LEAVES_SOONER) {
-            remove(turn);
-            turn.refuse(reader, verdict, describeInputs(turn, reader, due));
+            remove(request);
+            request.refuse(prefillEngine, verdict, describeInputs(request, prefillEngine, remaining));
             return true;
         }
         return false;
     }
 
-    private Optional<Endpoint> best(PrefillRequest turn) {
-        return engines.best(turn.promptTokens(), List.of(), context.settings().zone());
+    private Optional<Endpoint> best(PrefillRequest request) {
+        return engines.best(
+                request.promptTokens(), List.of(), context.settings().zone());
     }
 
-    private ReadingPool.Verdict judge(PrefillRequest turn, Endpoint reader, ReadingPool.Due due) {
-        return engines.judge(reader, turn.promptTokens(), due);
+    private ReadingPool.Verdict judge(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
+        return engines.judge(prefillEngine, request.promptTokens(), remaining);
     }
 
-    private String describeInputs(PrefillRequest turn, Endpoint reader, ReadingPool.Due due) {
-        ReadingLine<PrefillRequest>.Place place = turn.queueEntry();
-        long waited = place == null ? 0 : place.waitedMillis(context.now());
-        return engines.describeInputs(reader, turn.promptTokens(), due) + " waited_ms=" + waited + " waiting="
-                + queue.size();
+    private String describeInputs(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
+        ReadingLine<PrefillRequest>.Place entry = request.queueEntry();
+        long waitedMillis = entry == null ? 0 : entry.waitedMillis(context.now());
+        return engines.describeInputs(prefillEngine, request.promptTokens(), remaining) + " waited_ms=" + waitedMillis
+                + " waiting=" + queue.size();
     }
 
     /** Returns a decode engine that may read the prompt now. */
-    private Optional<Endpoint> decoder(PrefillRequest turn) {
+    private Optional<Endpoint> decoder(PrefillRequest request) {
         long now = context.now();
-        double pace = engines.millisPerToken();
+        double millisPerToken = engines.millisPerToken();
         Optional<Endpoint> engine = inPlace.engine(
                         context.directory().usable(service, Stage.DECODE),
                         candidate -> candidate.member().id(),
-                        turn.promptTokens(),
-                        pace,
-                        turn.maxPauseMillis(),
+                        request.promptTokens(),
+                        millisPerToken,
+                        request.maxPauseMillis(),
                         now)
                 .filter(free ->
                         free.reachable() && !free.leftOut(now) && !free.health().suspect(now));
-        engine.ifPresent(chosen -> inPlace.begin(chosen, turn.promptTokens(), pace, now));
+        engine.ifPresent(chosen -> inPlace.begin(chosen, request.promptTokens(), millisPerToken, now));
         return engine;
     }
 
@@ -152,11 +156,11 @@
 
     /** Lets at most one begin or end: what a prompt takes of the engines' time shows only when it is sent. */
     private void checkQueue() {
-        int before = queue.size();
-        for (ReadingLine<PrefillRequest>.Place place : queue.order(context.now())) {
-            PrefillRequest turn = place.waiting();
-            decide(turn, turn.remaining());
-            if (queue.size() < before) {
+        int sizeBefore = queue.size();
+        for (ReadingLine<PrefillRequest>.Place entry : queue.order(context.now())) {
+            PrefillRequest request = entry.waiting();
+            decide(request, request.remaining());
+            if (queue.size() < sizeBefore) {
                 return;
             }
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
@@ -114,10 +114,10 @@
 
     /** A route may have been added since the store was last heard of, so only who knows the newest state denies one. */
     private void handleMissingRoute(Exchange exchange, String host, long version) {
-        KindFreshness told = knowledge;
-        if (told != null && !told.current()) {
+        KindFreshness currentKnowledge = knowledge;
+        if (currentKnowledge != null && !currentKnowledge.current()) {
             requestsInDoubt.add(exchange);
-            told.refresh(() -> resolveDoubts(told.current()));
+            currentKnowledge.refresh(() -> resolveDoubts(currentKnowledge.current()));
             return;
         }
         logger.atInfo().log(
@@ -126,8 +126,8 @@
         context.fail(exchange, HttpResponseStatus.NOT_FOUND, "no route");
     }
 
-    private void resolveDoubts(boolean known) {
-        if (known) {
+    private void resolveDoubts(boolean current) {
+        if (current) {
             requestsInDoubt.removeAll().forEach(this::route);
         } else {
             requestsInDoubt.refuseAll();
@@ -142,15 +142,15 @@
     }
 
     private String describeKnowledge() {
-        KindFreshness told = knowledge;
-        return told == null
+        KindFreshness currentKnowledge = knowledge;
+        return currentKnowledge == null
                 ? "word_age_ms=0"
                 : String.format(
                         Locale.ROOT,
                         "word_age_ms=%d era=%d revision=%d",
-                        told.ageMillis(),
-                        told.position().era(),
-                        told.position().revision());
+                        currentKnowledge.ageMillis(),
+                        currentKnowledge.position().era(),
+                        currentKnowledge.position().revision());
     }
 
     private void refuseEarly(Exchange exchange) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -77,11 +77,11 @@
         return settings;
     }
 
-    void settings(EntrySettings renewed) {
-        settings = renewed;
+    void settings(EntrySettings newSettings) {
+        settings = newSettings;
         retries.values()
                 .forEach(allowance ->
-                        allowance.change(renewed.retryRatio(), renewed.retrySlack(), windowNanos(renewed)));
+                        allowance.change(newSettings.retryRatio(), newSettings.retrySlack(), windowNanos(newSettings)));
     }
 
     GatewayMetrics metrics() {
@@ -216,15 +216,15 @@
         if (period == null) {
             return true;
         }
-        long limit = new ForwardedRequest(exchange, protocol, route).remainingMillis();
-        long usual = answerTime(route).boundMillis(exchange.facts().estimate(), period.certainty(now()));
-        long bound = Math.min(limit, usual);
-        if (period.take(now(), bound)) {
+        long remainingMillis = new ForwardedRequest(exchange, protocol, route).remainingMillis();
+        long usualMillis = answerTime(route).boundMillis(exchange.facts().estimate(), period.certainty(now()));
+        long boundMillis = Math.min(remainingMillis, usualMillis);
+        if (period.take(now(), boundMillis)) {
             return true;
         }
         logger.atInfo().log(
                 "event=refused-leaving request=%s bound_ms=%d left_ms=%d age_ms=%d",
-                exchange.facts().id(), bound, period.leftMillis(now()), exchange.ageMillis());
+                exchange.facts().id(), boundMillis, period.leftMillis(now()), exchange.ageMillis());
         return false;
     }
 
@@ -238,12 +238,12 @@
     }
 
     private BookingManager newBookingManager(String service) {
-        BookingManager desk = new BookingManager(this, service);
+        BookingManager manager = new BookingManager(this, service);
         EntryCount counted = entries;
         if (counted != null) {
-            desk.entries(counted);
+            manager.entries(counted);
         }
-        return desk;
+        return manager;
     }
 
     /** Refuses a request because this entry stops before it would end. */
@@ -253,22 +253,22 @@
     }
 
     /** Refuses a request that has not run and won't, and says when to come back. */
-    void refuse(Exchange exchange, String why, long comeBackMillis) {
+    void refuse(Exchange exchange, String why, long retryAfterMillis) {
         GracePeriod period = grace;
         answerRefused(
                 exchange,
                 why,
-                period == null ? comeBackMillis : period.comeBackMillis(now(), random(), comeBackMillis));
+                period == null ? retryAfterMillis : period.comeBackMillis(now(), random(), retryAfterMillis));
     }
 
     private static double random() {
         return ThreadLocalRandom.current().nextDouble();
     }
 
-    private void answerRefused(Exchange exchange, String why, long comeBack) {
+    private void answerRefused(Exchange exchange, String why, long retryAfterMillis) {
         metrics.refused(why);
         HttpHeaders headers = new DefaultHttpHeaders();
-        protocol.setRetryAfter(headers, comeBack);
+        protocol.setRetryAfter(headers, retryAfterMillis);
         exchange.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, why, headers);
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
@@ -35,22 +35,22 @@
         step("booked", engine, "tokens=" + tokens);
     }
 
-    void notBooked(BookingRequest wanted, int engines, long spentBefore, String why) {
+    void notBooked(BookingRequest request, int engines, long earlierAttemptsMillis, String why) {
         logger.atInfo().log(
                 "event=booking-refused request=%s service=%s why=\"%s\" tokens=%d room=%d engines=%d asked=%d"
                         + " spent_before_ms=%d age_ms=%d",
                 exchange.facts().id(),
                 service,
                 why,
-                wanted.tokens(),
-                wanted.room(),
+                request.tokens(),
+                request.room(),
                 engines,
-                wanted.inquiries(),
-                spentBefore,
+                request.inquiries(),
+                earlierAttemptsMillis,
                 exchange.ageMillis());
     }
 
-    void streamed(StreamPace pace, long spentBefore) {
+    void streamed(StreamPace pace, long earlierAttemptsMillis) {
         metrics.longestPause(route.name(), pace.longestPauseMillis());
         logger.atInfo().log(
                 "event=stream-ended request=%s events=%d first_event_ms=%d longest_pause_ms=%d spent_before_ms=%d age_ms=%d",
@@ -58,7 +58,7 @@
                 pace.pieces(),
                 pace.firstMillis(),
                 pace.longestPauseMillis(),
-                spentBefore,
+                earlierAttemptsMillis,
                 exchange.ageMillis());
     }
 
@@ -76,11 +76,11 @@
                 exchange.facts().id(), tokens, exchange.ageMillis());
     }
 
-    void ended(String outcome, int status, int tries) {
+    void ended(String outcome, int status, int attempts) {
         metrics.ended(route.name(), outcome, exchange.ageMillis());
         logger.atInfo().log(
                 "event=request-ended request=%s route=%s service=%s version=%d outcome=%s status=%d tries=%d age_ms=%d",
-                exchange.facts().id(), route.name(), service, version, outcome, status, tries, exchange.ageMillis());
+                exchange.facts().id(), route.name(), service, version, outcome, status, attempts, exchange.ageMillis());
     }
 
     /** Notes that a prompt isn't begun yet, and why. */
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
@@ -209,13 +209,13 @@
 
     /** The request may have run, and there is no answer that can be passed on. */
     private void retryOrReportUnknown(Endpoint endpoint, String why) {
-        RetryDecision next = context.decideRetry(route, service, runs);
-        if (next == RetryDecision.ALLOWED) {
+        RetryDecision decision = context.decideRetry(route, service, runs);
+        if (decision == RetryDecision.ALLOWED) {
             log.step("retry", endpoint, "why=\"" + why + "\" " + context.describeBudget(service));
             sendToNext();
             return;
         }
-        log.attemptsEnded(why, next, context.describeBudget(service));
+        log.attemptsEnded(why, decision, context.describeBudget(service));
         finish("unknown", HttpResponseStatus.BAD_GATEWAY.code());
         context.fail(exchange, HttpResponseStatus.BAD_GATEWAY, "the endpoint gave no whole answer");
     }
@@ -234,9 +234,9 @@
     private void deadlinePassed() {
         EndpointCall running = call;
         boolean sent = mayHaveRun || (running != null && running.sent());
-        Endpoint silent = currentEndpoint;
-        if (silent != null && running != null && running.active()) {
-            silent.health().failed(context.now());
+        Endpoint unresponsive = currentEndpoint;
+        if (unresponsive != null && running != null && running.active()) {
+            unresponsive.health().failed(context.now());
         }
         if (running != null) {
             running.cancel();
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/WaitingRequests.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/WaitingRequests.java
@@ -39,9 +39,9 @@
 
     /** Takes all out. */
     List<Exchange> removeAll() {
-        List<Exchange> taken = List.copyOf(waiting);
+        List<Exchange> removed = List.copyOf(waiting);
         waiting.clear();
-        return taken;
+        return removed;
     }
 
     /** Refuses all. */
