--- a/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryCount.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryCount.java
@@ -1,12 +1,12 @@
 package org.quetzalseam.gateway.entry;
 
 /**
- * The entries of a site as one of them counts them. Immutable.
+ * The number of entries of a site as counted by one of them, and the rank of that one. Immutable.
  *
- * @param entries how many there are, at least one
- * @param rank place of this entry's name among theirs, from 0: the same order at every entry that has read the same names
+ * @param entries number of entries, at least one
+ * @param rank position of this entry's name in the sorted names, from 0; entries that read the same names agree on the order
  */
 public record EntryCount(int entries, int rank) {
-    /** What an entry assumes that hasn't counted yet: it is alone. */
+    /** The count of an entry that is alone, assumed before the first count. */
     public static final EntryCount ALONE = new EntryCount(1, 0);
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryRegistry.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryRegistry.java
@@ -14,29 +14,31 @@
 import org.quetzalseam.gateway.store.StoredObject;
 
 /**
- * Counts the entries that share a site's budgets: each leaves its name in the platform's store. Used on the event loop only.
+ * Registers this entry's name in the platform's store and counts the entries that share the site's budgets. Used on the event
+ * loop only.
  *
- * <p>Names of entries that were killed stay, so the count may be too high but not too low for long; a share of a budget that is
- * worked out from it is then too small, never too large. An entry whose name is new makes its first count when those who start with
- * it have left theirs too, and not from an old answer. A name that has gone from the store is left again, and where the store
- * has come back from an older copy the others are given time to do so too before they are taken for gone.
+ * <p>The names of killed entries stay in the store, so the count may be too high, but is not too low for long: a budget share that is
+ * computed from it is then too small, never too large. A newly registered entry waits before its first count, so that entries that
+ * start at the same time are registered as well, and does not count from a stale list. A name that is missing from the store is
+ * registered again. After the store was restored from an older copy, the other entries get time to register again before the
+ * count may fall.
  */
 public final class EntryRegistry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** Kind of the entries' names in the store. */
+    /** Kind of the store objects that hold the names of entries. */
     private static final String KIND = "quetzalseam-entries";
-    /** How often names are counted at a small site, in milliseconds: entries come and go within minutes, and a call has its price. */
+    /** Interval between two counts at a small site, in milliseconds: entries come and go within minutes, and each call to the store has a cost. */
     private static final long COUNT_INTERVAL_MILLIS = 5_000;
-    /** How long after its new name was left an entry counts first, in milliseconds: processes that start together differ by less. */
+    /** Delay between the registration of a new name and the first count, in milliseconds: processes that start together differ by less. */
     private static final long FIRST_COUNT_DELAY_MILLIS = 1_000;
     /**
-     * Entries for each of which so much time passes between two counts: a name takes some 150 bytes of an answer, so that
-     * counting takes 0.6 KB a second at most, however many there are.
+     * Number of entries for which the time between two counts grows by one interval: a name takes some 150 bytes of a list, so
+     * counting reads at most 0.6 KB a second, however many entries there are.
      */
     private static final int ENTRIES_PER_EXTRA_INTERVAL = 20;
     /**
-     * How long after the store has come back from an older copy the count doesn't fall, in nanoseconds: each entry hears of it
-     * within one turn and leaves its name in the next at the latest.
+     * Time after a restore of the store from an older copy during which the count may not fall, in nanoseconds: each entry notices
+     * the restore within one interval and registers its name in the next one at the latest.
      */
     private static final long RESTORE_HOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(2 * COUNT_INTERVAL_MILLIS);
 
@@ -52,12 +54,12 @@
     private long restoredAtNanos;
 
     /**
-     * Creates a census.
+     * Creates a registry that does not count before {@link #start}.
      *
      * @param timers the event loop's timers
      * @param store the platform's store
      * @param self this entry's name
-     * @param listener takes the number of entries and this one's rank, whenever either has changed
+     * @param listener receives the number of entries and the rank of this one whenever either changes
      */
     public EntryRegistry(Timers timers, ObjectStore store, String self, Consumer<EntryCount> listener) {
         this.timers = timers;
@@ -66,7 +68,7 @@
         this.listener = listener;
     }
 
-    /** Leaves this entry's name and begins to count. */
+    /** Registers this entry's name and starts to count. */
     public void start() {
         tick();
         timers.every(COUNT_INTERVAL_MILLIS, this::tick);
@@ -137,7 +139,7 @@
         updateEra(page.position().era());
         Set<String> names = page.objects().stream().map(StoredObject::name).collect(Collectors.toSet());
         if (names.add(self)) {
-            // Whoever removed it, this entry lives; an old answer may also lack it, and leaving it again does no harm.
+            // The name was removed, or the list is stale. This entry is running, and registering it again does no harm.
             registered = false;
         }
         int rank = (int) names.stream().filter(name -> name.compareTo(self) < 0).count();
--- a/gateway/src/main/java/org/quetzalseam/gateway/entry/package-info.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The other entries as peers: how many there are. */
+/** Registers the entries of a site and counts them. */
 @NullMarked
 package org.quetzalseam.gateway.entry;
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/EngineLoad.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/EngineLoad.java
@@ -1,14 +1,14 @@
 package org.quetzalseam.gateway.protocol;
 
 /**
- * What an engine reports of its load; some hundred milliseconds old. Immutable.
+ * The load that an engine reports, some hundred milliseconds old. Immutable.
  *
- * @param startMillis when the engine started, in Unix milliseconds: which life of it this is the load of
- * @param queued requests that wait
- * @param running requests that run
- * @param memoryUsed memory that can't be given up, in tokens
- * @param memoryTotal memory in all, in tokens
- * @param orders orders it has accepted in this life
+ * @param startMillis when the engine started, in Unix milliseconds; identifies its incarnation
+ * @param queued number of queued requests
+ * @param running number of running requests
+ * @param memoryUsed memory that cannot be freed, in tokens
+ * @param memoryTotal total memory, in tokens
+ * @param orders number of orders accepted in this incarnation
  * @param changing whether an order is being carried out
  */
 public record EngineLoad(
--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/Forwarding.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/Forwarding.java
@@ -3,14 +3,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What an entry adds to a request that it sends to an endpoint. Immutable.
+ * The information that an entry adds to a request that it sends to an endpoint. Immutable.
  *
- * @param expectedEndpoint id of the endpoint that may run it; any other refuses
- * @param remainingMillis how long the answer is of use
- * @param prefillOnly whether only the prompt is to be read
- * @param kvSource where the KV cache of its prompt lies, or null
- * @param booking the memory booked for it, or null
- * @param resumeAfter the last event delivered, when a stream goes on, or null
+ * @param expectedEndpoint id of the endpoint that may run the request; any other endpoint refuses it
+ * @param remainingMillis how long the answer is still of use, in milliseconds
+ * @param prefillOnly whether the endpoint only prefills the prompt
+ * @param kvSource location of the KV cache of the prompt, or null
+ * @param booking id of the memory booked for the request, or null
+ * @param resumeAfter id of the last event delivered, if a stream is resumed, else null
  */
 public record Forwarding(
         String expectedEndpoint,
@@ -19,12 +19,12 @@
         @Nullable String kvSource,
         @Nullable String booking,
         @Nullable String resumeAfter) {
-    /** Returns what is added to a request that an endpoint runs as a whole. */
+    /** Returns the information for a request that an endpoint runs completely. */
     public static Forwarding whole(String endpoint, long patienceMillis) {
         return new Forwarding(endpoint, patienceMillis, false, null, null, null);
     }
 
-    /** Returns what is added when only the prompt is to be read. */
+    /** Returns the information for a request that is only prefilled. */
     public static Forwarding prefill(String endpoint, long patienceMillis) {
         return new Forwarding(endpoint, patienceMillis, true, null, null, null);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/Protocol.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/Protocol.java
@@ -7,49 +7,49 @@
 import org.quetzalseam.core.fleet.Stage;
 
 /**
- * How a platform writes what the gateway means: header names, calls to engines and their replies. Implementations translate
- * only and are stateless.
+ * Translates between the gateway and a platform's wire format: header names, calls to engines and their replies. Implementations
+ * only translate and are stateless.
  */
 public interface Protocol {
-    /** Returns the header that names a try of a request, which replies repeat. */
+    /** Returns the name of the header that identifies an attempt of a request; replies repeat it. */
     String idHeader();
 
-    /** Returns what a request says of itself. */
+    /** Returns the facts that a request states in its headers. */
     RequestFacts facts(HttpHeaders headers);
 
-    /** Takes out what callers may not set, and writes what the entry adds. */
+    /** Removes headers that callers may not set, and writes those that the entry adds. */
     void rewriteHeaders(HttpHeaders headers, Forwarding forwarding);
 
-    /** Returns what a reply says beside its status. */
+    /** Returns the facts that a reply states beside its status. */
     ReplyFacts facts(HttpResponse reply);
 
-    /** Tells the caller when to come back. */
+    /** Sets the time after which the caller may retry. */
     void setRetryAfter(HttpHeaders headers, long millis);
 
-    /** Returns a call that books decode memory and a place. */
+    /** Returns a call that books decode memory and a slot; {@code millis} is how long the booking holds before its request arrives. */
     FullHttpRequest bookMemory(int tokens, long millis);
 
-    /** Returns the id of the booking from the reply to {@link #bookMemory}. */
+    /** Returns the id of a booking from the reply to {@link #bookMemory}. */
     Optional<String> bookingId(String body);
 
-    /** Returns a call that gives a booking back. */
+    /** Returns a call that releases a booking. */
     FullHttpRequest releaseBooking(String reservation);
 
     /** Returns the handle of a KV cache from the reply to a prefill. */
     Optional<String> kvHandle(String body);
 
-    /** Returns where a KV cache lies, as {@link Forwarding#kvSource} takes it. */
+    /** Returns the location of a KV cache, as {@link Forwarding#kvSource} takes it. */
     String kvSource(String address, String handle);
 
     /** Returns a call that drops a KV cache. */
     FullHttpRequest dropKv(String handle);
 
-    /** Returns a call that asks for an engine's load; another endpoint at its address refuses. */
+    /** Returns a call that asks for an engine's load; any other endpoint at that address refuses it. */
     FullHttpRequest reportLoad(String expectedEndpoint);
 
-    /** Returns the load from the reply to {@link #reportLoad}, if it says which life of the engine it is of. */
+    /** Returns the load from the reply to {@link #reportLoad}, if the reply identifies the engine's incarnation. */
     Optional<EngineLoad> load(String body);
 
-    /** Returns a call that orders an engine to another stage. */
+    /** Returns a call that orders an engine to change to another stage. */
     FullHttpRequest changeStage(Stage stage, String holder, long epoch, long ordersSeen, String expectedEndpoint);
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/ReplyFacts.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/ReplyFacts.java
@@ -1,9 +1,9 @@
 package org.quetzalseam.gateway.protocol;
 
 /**
- * What an endpoint's reply says beside its status. Immutable.
+ * The facts that an endpoint's reply states beside its status. Immutable.
  *
- * @param signed whether it bears the endpoint's signature, as every answer of a run does
- * @param notRun whether the endpoint says that it hasn't run the request and won't
+ * @param signed whether the reply carries the endpoint's signature, as every answer of a run does
+ * @param notRun whether the endpoint states that it has not run the request and will not run it
  */
 public record ReplyFacts(boolean signed, boolean notRun) {}
--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/package-info.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/package-info.java
@@ -1,4 +1,4 @@
-/** What a platform's protocol has to offer the gateway, in the gateway's own terms. */
+/** The interface between the gateway and a platform's protocol, in the gateway's own terms. */
 @NullMarked
 package org.quetzalseam.gateway.protocol;
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookedMemory.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookedMemory.java
@@ -3,11 +3,11 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /**
- * Memory booked at a decode engine. Immutable.
+ * Decode memory booked at an engine. Immutable.
  *
  * @param engine the engine
- * @param id the engine's name of the booking
- * @param tokens how much was booked
- * @param prefillsPrompt whether the engine is to read the prompt as well
+ * @param id the engine's id of the booking
+ * @param tokens booked memory, in tokens
+ * @param prefillsPrompt whether the decode engine also prefills the prompt
  */
 record BookedMemory(Endpoint engine, String id, int tokens, boolean prefillsPrompt) {}
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
@@ -19,44 +19,44 @@
 import org.quetzalseam.gateway.protocol.RequestFacts;
 
 /**
- * Books decode memory at a service's engines for the generations of this entry. Used on the event loop only.
+ * Books decode memory at the engines of a service for this entry's generations. Used on the event loop only.
  *
- * <p>The engines' own bookings are what all entries agree on, without a message between them: an engine that is full says
- * so. Those who find no room wait here and ask again: those who can still be in time first, and among them those who cost the
- * least, as every answer is worth about the same and more of them fit.
+ * <p>The engines' own bookings are the state that all entries share, without messages between the entries: a full engine refuses. Requests
+ * that find no room are queued here and retried: first those that can still meet their objective, and among them those with the lowest
+ * cost, because every answer is worth about the same and more of the cheap ones fit.
  */
 final class BookingManager {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** How long an engine that refused isn't asked again for as much, in nanoseconds: a few engine steps. */
+    /** How long an engine that refused is not asked again for as much memory, in nanoseconds: a few engine steps. */
     private static final long RETRY_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
     /**
-     * The same for those who are late already, in nanoseconds: so much longer that a place that gets free is nearly always
-     * found first by someone, at this entry or another, whose answer can still be in time.
+     * The same pause for requests that are already late, in nanoseconds: so much longer that freed memory is nearly always found first
+     * by a request, at this entry or another, whose answer can still be in time.
      */
     private static final long LATE_RETRY_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-    /** How often those who wait are looked at, in milliseconds. */
+    /** Interval between two checks of the queue, in milliseconds. */
     private static final long CHECK_INTERVAL_MILLIS = 20;
-    /** How long a booking holds before its request arrives, in milliseconds: several times a prompt's reading. */
+    /** How long a booking is held before its request arrives, in milliseconds: several times the duration of a prefill. */
     private static final long BOOKING_LIFETIME_MILLIS = 2_000;
-    /** How long an engine may take to answer, in milliseconds: many round trips, yet a part of the latency objective. */
+    /** Timeout of a booking inquiry, in milliseconds: many round trips, but only a part of the latency objective. */
     private static final long ANSWER_TIMEOUT_MILLIS = 150;
 
-    /** Bookings asked of one engine at a time: the answer to one tells what another can hope for. */
+    /** Booking inquiries in flight per engine: the answer to one shows whether another can succeed. */
     private static final int MAX_INQUIRIES_PER_ENGINE = 2;
 
-    /** Weight of the newest generation in the typical time: about the last twenty count. */
+    /** Weight of the newest generation in the typical time: about the last twenty generations count. */
     private static final double NEWEST_WEIGHT = 0.05;
-    /** Time of a generation before the first one has ended, in milliseconds; it counts as much as a single one. */
+    /** Assumed time of a generation before the first one has ended, in milliseconds; it has the weight of a single generation. */
     private static final double INITIAL_TYPICAL_MILLIS = 3_000;
-    /** Part of the time to come back by which it is spread either way. */
+    /** Share of the retry-after time by which it is spread randomly in either direction. */
     private static final double RETRY_AFTER_SPREAD_SHARE = 0.25;
 
-    /** How often engines that are gone are forgotten, in milliseconds. */
+    /** Interval at which removed engines are forgotten, in milliseconds. */
     private static final long FORGET_INTERVAL_MILLIS = 10_000;
-    /** Tokens by which engines hand out memory. */
+    /** Number of tokens per block in which engines allocate memory. */
     private static final int BLOCK_TOKENS = 16;
 
-    /** How long an engine may take to confirm that something was given back, in milliseconds; it lapses by itself soon after. */
+    /** Timeout of the confirmation that something was released, in milliseconds; otherwise it expires by itself soon after. */
     private static final long RELEASE_TIMEOUT_MILLIS = 1_000;
 
     private static final int MAX_REPLY_BYTES = 64 * 1024;
@@ -74,7 +74,7 @@
     private double typicalMillis = INITIAL_TYPICAL_MILLIS;
     private int typicalCount = 1;
 
-    /** An engine's last refusal: when, and of how many tokens. */
+    /** An engine's last refusal: its monotonic time in nanoseconds, and the number of tokens refused. */
     private record Refusal(long at, int tokens) {}
 
     BookingManager(RunContext context, String service) {
@@ -93,40 +93,40 @@
         inquiries.values().removeIf(count -> count == 0);
     }
 
-    /** Takes a generation in; its outcome follows, never before this call returns. */
+    /** Queues a request; its listener is called later, never before this method returns. */
     void submit(BookingRequest request) {
         waiting.add(request);
         context.timers().soon(this::checkQueue);
     }
 
-    /** Takes a generation out that needs no memory any more. */
+    /** Cancels and removes a request that no longer needs memory. */
     void remove(BookingRequest request) {
         request.cancel();
         waiting.remove(request);
     }
 
-    /** Returns how much memory is booked for a generation. */
+    /** Returns the rule for how much memory is booked for a generation. */
     MemoryBooking booking() {
         return booking;
     }
 
-    /** Returns who reads the prompts. */
+    /** Returns the prefill engines of the service. */
     PrefillEngines prefillEngines() {
         return prefillEngines;
     }
 
-    /** Returns when they read them. */
+    /** Returns the scheduler of their prompts. */
     PrefillScheduler prefillScheduler() {
         return prefillScheduler;
     }
 
-    /** Sets among how many entries the engines are shared, and this one's place among them. */
+    /** Sets the number of entries that share the engines, and this entry's rank. */
     void entries(EntryCount counted) {
         prefillEngines.entries(counted.entries());
         prefillScheduler.entries(counted);
     }
 
-    /** Notes how long a generation took from its arrival to its end, and how many events it made. */
+    /** Records how long a generation took from its arrival to its end, in milliseconds, and its number of events. */
     void recordEnded(long tookMillis, RequestFacts facts, long events) {
         TokenDemand demand = facts.demand();
         if (demand != null && facts.resumesAfter() == null) {
@@ -137,8 +137,9 @@
     }
 
     /**
-     * Returns when a refused caller finds room, in milliseconds: all that fills the engines now has ended after about the
-     * time of a generation, or when the prompts before it are read, if that takes longer. Spread, so that those who were refused together don't come back together.
+     * Returns the time after which a refused caller is expected to find room, in milliseconds: all that fills the engines now has ended
+     * after about the typical time of a generation, or when the prompts before it are prefilled, if that takes longer. The result is
+     * spread randomly, so that callers that were refused together do not retry together.
      */
     long retryAfterMillis(double objectiveMillis) {
         double spread = 1
@@ -147,7 +148,7 @@
         return Math.round(Math.max(typicalMillis, prefillEngines.retryAfterMillis(objectiveMillis)) * spread);
     }
 
-    /** Notes that a booking's generation has ended: its engine has room. */
+    /** Records that the generation of a booking has ended, so that its engine has room. */
     void recordFreed(Endpoint engine, int tokens) {
         bookedTokens.merge(engine, -tokens, Integer::sum);
         refusals.remove(engine);
@@ -235,7 +236,7 @@
         });
     }
 
-    /** The usual size is booked; the room that a long one needs has to be free, but doesn't stay booked. */
+    /** Checks that the spare room for a long generation is free. Only the usual size stays booked: the spare room is booked and released at once. */
     private void checkSpareRoom(BookingRequest request, Endpoint engine, String id) {
         if (request.finished() || request.room() == 0) {
             granted(request, engine, id);
@@ -262,7 +263,7 @@
         });
     }
 
-    /** What an engine answers to a booking. */
+    /** Receives an engine's answer to a booking. */
     private interface BookingListener {
         void booked(String id);
 
@@ -317,12 +318,12 @@
         checkQueue();
     }
 
-    /** Gives a booking back that won't be used. */
+    /** Releases a booking that will not be used. */
     void release(Endpoint engine, String id) {
         control(engine, context.protocol().releaseBooking(id), "release");
     }
 
-    /** Drops a KV cache that won't be used. */
+    /** Drops a KV cache that will not be used. */
     void dropKv(Endpoint engine, String handle) {
         control(engine, context.protocol().dropKv(handle), "drop-kv");
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingRequest.java
@@ -3,14 +3,14 @@
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
-/** A generation's wait for decode memory at a {@link BookingManager}. Used on the event loop only. */
+/** A generation's request for decode memory, queued at a {@link BookingManager}. Used on the event loop only. */
 final class BookingRequest {
-    /** What becomes of the wait. */
+    /** Receives the result of the request. */
     interface Listener {
-        /** Memory is booked at the engine under the id. */
+        /** Called when memory is booked at the engine under the id. */
         void granted(Endpoint engine, String id);
 
-        /** Nothing could be booked in time, or there is no engine to book at. */
+        /** Called when nothing could be booked in time, or when there is no engine to book at. */
         void refused(String why);
     }
 
@@ -26,15 +26,15 @@
     private boolean finished;
 
     /**
-     * Creates a wait.
+     * Creates a request.
      *
-     * @param tokens the memory to book
-     * @param room memory that must be free besides
-     * @param cost what serving it is expected to cost; of two who wait, the cheaper goes first
-     * @param inTimeUntil monotonic time in nanoseconds up to which a place still meets the latency objective
-     * @param waitUntil monotonic time in nanoseconds at which to stop waiting
-     * @param requiredEngine the one engine that will do, refused as soon as it has no room; null if any will
-     * @param listener takes the outcome
+     * @param tokens the memory to book, in tokens
+     * @param room additional memory that must be free, in tokens
+     * @param cost expected cost of serving the generation; of two queued requests, the cheaper is served first
+     * @param inTimeUntil monotonic time in nanoseconds up to which a booking still meets the latency objective
+     * @param waitUntil monotonic time in nanoseconds at which the request is refused
+     * @param requiredEngine the only acceptable engine, in which case the request is refused as soon as that engine has no room; null if any engine is acceptable
+     * @param listener receives the result
      */
     BookingRequest(
             int tokens,
@@ -73,12 +73,12 @@
         return waitUntil;
     }
 
-    /** Returns whether an engine will do. */
+    /** Returns whether an engine is acceptable. */
     boolean accepts(Endpoint engine) {
         return requiredEngine == null || requiredEngine.equals(engine);
     }
 
-    /** Returns whether it doesn't wait for room. */
+    /** Returns whether the request is refused instead of waiting for room. */
     boolean refusedWhenFull() {
         return requiredEngine != null;
     }
@@ -92,7 +92,7 @@
         inquiries += isInquiring ? 1 : 0;
     }
 
-    /** Returns how many engines' answers it has asked for. */
+    /** Returns the number of booking inquiries sent to engines so far. */
     int inquiries() {
         return inquiries;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/DecodeReply.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/DecodeReply.java
@@ -9,25 +9,25 @@
 import org.quetzalseam.gateway.protocol.Protocol;
 import org.quetzalseam.gateway.protocol.ReplyFacts;
 
-/** Takes a decode engine's reply: a stream of events, or a whole answer that isn't one. */
+/** Receives a decode engine's reply: a stream of events, or a complete answer that is not a stream. */
 final class DecodeReply implements ReplyListener {
     private static final int MAX_ANSWER_BYTES = 1024 * 1024;
 
-    /** What the reply turns out to be. */
+    /** Receives the parsed reply. */
     interface Listener {
-        /** A stream begins. */
+        /** Called when a stream begins. */
         void begun(HttpResponse head);
 
-        /** A piece of the stream; the taker releases it. */
+        /** Called with each piece of the stream; the listener releases it. */
         void piece(ByteBuf piece);
 
-        /** The stream has ended as its engine meant it to. */
+        /** Called when the engine has ended the stream regularly. */
         void streamEnded();
 
-        /** A whole answer that is no stream; the taker releases the body. */
+        /** Called with a complete answer that is not a stream; the listener releases the body. */
         void answered(HttpResponse head, ByteBuf body);
 
-        /** The reply ended before its time. */
+        /** Called when the reply ended prematurely. */
         void failed(CallFailure failure);
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EngineExclusion.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EngineExclusion.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
-/** Leaves out engines that turn work away. Stateless. */
+/** Excludes engines that refuse work. Stateless. */
 final class EngineExclusion {
     private EngineExclusion() {}
 
     /**
-     * Returns the engines without those that are left out. Where those would be more than half, all are returned: then the cause
-     * is most likely not theirs, such as caches that lapse or a network that has slowed down.
+     * Returns the engines that are not excluded, or all engines if more than half would be excluded. In that case the cause is most
+     * likely not the engines themselves, but for example expiring caches or a slow network.
      */
     static List<Endpoint> withoutExcluded(List<Endpoint> engines, long now) {
         List<Endpoint> remaining =
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EntrySettings.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EntrySettings.java
@@ -1,17 +1,17 @@
 package org.quetzalseam.gateway.route;
 
 /**
- * What an entry is told by its settings. Immutable.
+ * The settings of an entry. Immutable.
  *
  * @param name the process's name
- * @param zone its availability zone
- * @param retryRatio retries for each request that all entries together may make at a service
- * @param retrySlack retries in a window that all entries together may make besides
+ * @param zone the availability zone of the process
+ * @param retryRatio retries per request that all entries together may make at a service
+ * @param retrySlack retries per window that all entries together may make in addition
  * @param retryWindowMillis the window over which retries are counted
- * @param bookedDeviations standard deviations above a generation's median length that stay booked
- * @param admittedDeviations standard deviations above it that must be free when a generation is admitted
- * @param prefillShare share of a service's engines that read prompts, assumed until load has been seen
- * @param firstStart whether the whole site starts for the first time
+ * @param bookedDeviations standard deviations above a generation's median length for which memory stays booked
+ * @param admittedDeviations standard deviations above the median length for which memory must be free when a generation is admitted
+ * @param prefillShare share of a service's engines that prefill prompts, assumed until load has been observed
+ * @param firstStart whether the entire site starts for the first time
  */
 public record EntrySettings(
         String name,
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EventStreamParser.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EventStreamParser.java
@@ -6,45 +6,45 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Cuts a stream's bytes into whole events and keeps the last event's id, so that a piece of an event is never delivered. Not
- * thread-safe.
+ * Splits a stream's bytes into complete events and keeps the id of the last one, so that a part of an event is never delivered.
+ * Not thread-safe.
  */
 final class EventStreamParser {
     private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
-    /** Longest event that is collected, in bytes; a longer one is treated as broken. */
+    /** Longest event that is buffered, in bytes; a longer one is treated as malformed. */
     private static final int MAX_EVENT_BYTES = 1024 * 1024;
 
     private ByteBuf buffered = Unpooled.buffer();
     private @Nullable String lastId;
     private long eventCount;
 
-    /** Returns the id of the last whole event, or null before the first. */
+    /** Returns the id of the last complete event that had one, or null before the first. */
     @Nullable
     String lastId() {
         return lastId;
     }
 
-    /** Returns how many whole events have passed. */
+    /** Returns the number of complete events so far. */
     long eventCount() {
         return eventCount;
     }
 
-    /** Returns whether a piece of an event is left that has no end. */
+    /** Returns whether the start of an event is buffered whose end has not arrived. */
     boolean hasIncompleteEvent() {
         return buffered.isReadable();
     }
 
-    /** Forgets a piece of an event: the stream goes on from the last whole one. */
+    /** Discards a buffered part of an event: the stream is resumed after the last complete event. */
     void discardIncompleteEvent() {
         buffered.clear();
     }
 
-    /** Takes bytes and returns the whole events among them, possibly none. The caller releases what is returned. */
+    /** Appends bytes and returns the events that are now complete, possibly none. Releases {@code piece}; the caller releases the result. */
     ByteBuf append(ByteBuf piece) {
         buffered.writeBytes(piece);
         piece.release();
         if (buffered.readableBytes() > MAX_EVENT_BYTES) {
-            throw new IllegalStateException("an event is longer than " + MAX_EVENT_BYTES + " bytes");
+            throw new IllegalStateException("event exceeds " + MAX_EVENT_BYTES + " bytes");
         }
         int end = scan();
         ByteBuf complete = Unpooled.copiedBuffer(buffered.slice(buffered.readerIndex(), end - buffered.readerIndex()));
@@ -53,7 +53,7 @@
         return complete;
     }
 
-    /** Walks the lines, counts events and notes ids. Returns the index after the last whole event. */
+    /** Scans the lines, counts events and records ids. Returns the index after the last complete event. */
     private int scan() {
         int endOfEvents = buffered.readerIndex();
         int lineStart = buffered.readerIndex();
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
@@ -4,7 +4,7 @@
 import org.quetzalseam.core.routing.RouteRule;
 import org.quetzalseam.gateway.caller.Exchange;
 
-/** How long a generation's caller may still wait for the first event. Used on the event loop only. */
+/** The time that is left until a generation's first event must reach its caller. Used on the event loop only. */
 final class FirstEventDeadline {
     private final Exchange exchange;
     private final RouteRule route;
@@ -18,12 +18,12 @@
         this.earlierAttemptsMillis = earlierAttemptsMillis;
     }
 
-    /** Returns the longest pause between events that is in time, in milliseconds; 0 where there is no such objective. */
+    /** Returns the longest pause between events that meets the objective, in milliseconds; 0 if there is no such objective. */
     double maxPauseMillis() {
         return (double) route.pauseMillis();
     }
 
-    /** Returns what is left at this moment: an answer whose first event comes after its caller has given up is of no use. */
+    /** Returns the time left at this moment. An answer whose first event arrives after its caller has given up is of no use. */
     ReadingPool.Due remaining() {
         double toObjective = (double) route.targetMillis() - exchange.ageMillis() - earlierAttemptsMillis;
         long toTimeout = Math.min(forwarded.remainingMillis(), route.silenceMillis() - exchange.ageMillis());
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ForwardedRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ForwardedRequest.java
@@ -9,7 +9,7 @@
 import org.quetzalseam.gateway.protocol.Forwarding;
 import org.quetzalseam.gateway.protocol.Protocol;
 
-/** A caller's request as it goes to endpoints, with the time that its answer is still of use. */
+/** A caller's request as forwarded to endpoints, with the time during which an answer is of use. */
 final class ForwardedRequest {
     private final Exchange exchange;
     private final Protocol protocol;
@@ -21,12 +21,12 @@
         this.deadlineMillis = Math.min(exchange.facts().callerTimeoutMillis(), route.timeoutMillis());
     }
 
-    /** Returns how long an answer is still of use, in milliseconds. */
+    /** Returns how long an answer is still of use, in milliseconds; negative after the deadline. */
     long remainingMillis() {
         return deadlineMillis - exchange.ageMillis();
     }
 
-    /** Returns the head to send: the caller's, with what the entry adds. */
+    /** Returns the request head to send: the caller's headers, with those that the entry adds. */
     HttpRequest head(Forwarding forwarding) {
         HttpRequest head = new DefaultHttpRequest(
                 HttpVersion.HTTP_1_1,
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
@@ -8,22 +8,22 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /**
- * One generation's wait for its prompt's turn and then for decode memory: how long it is worth waiting, and what comes of it. Used on
- * the event loop only.
+ * Admits one generation: waits until its prompt may be prefilled, then until decode memory is booked, each only as long as the wait is
+ * of use. Used on the event loop only.
  */
 final class GenerationAdmission {
     /**
-     * How long a caller who is late already may wait for memory, in milliseconds: long enough for a place that is just getting
-     * free, and too short for the late to take many places from those who could be in time at other entries.
+     * How long a generation that already misses its objective may wait for memory, in milliseconds: long enough for memory that is
+     * just being freed, and too short for late generations to take much memory from those at other entries that could be in time.
      */
     private static final long LATE_WAIT_MILLIS = 1_000;
 
-    /** What becomes of the wait. */
+    /** Receives the result of the admission. */
     interface Listener {
-        /** Memory is booked. */
+        /** Called when memory is booked. */
         void booked(BookedMemory memory);
 
-        /** The prompt can't be read or nothing be booked in time, or there is no engine to book at. */
+        /** Called when the prompt cannot be prefilled or no memory be booked in time, or when there is no engine to book at. */
         void refused(String why);
     }
 
@@ -56,16 +56,17 @@
     void start(TokenDemand demand) {
         PrefillRequest newRequest = new PrefillRequest(demand.prompt(), deadline, log, new PrefillRequest.Listener() {
             @Override
-            public void beginPrefill(Optional<Endpoint> reader) {
+            public void beginPrefill(Optional<Endpoint> prefillEngine) {
                 prefillRequest = null;
-                double first = reader.map(engine -> bookings.prefillEngines().firstEventMillis(engine, demand.prompt()))
+                double firstEventMillis = prefillEngine
+                        .map(engine -> bookings.prefillEngines().firstEventMillis(engine, demand.prompt()))
                         .orElse(0.0);
-                requestBooking(demand, Math.round(deadline.remaining().inTimeMillis() - first), null);
+                requestBooking(demand, Math.round(deadline.remaining().inTimeMillis() - firstEventMillis), null);
             }
 
             @Override
-            public void beginInPlace(Endpoint decoder) {
-                requestBooking(demand, Math.round(deadline.remaining().inTimeMillis()), decoder);
+            public void beginInPlace(Endpoint decodeEngine) {
+                requestBooking(demand, Math.round(deadline.remaining().inTimeMillis()), decodeEngine);
             }
 
             @Override
@@ -107,7 +108,7 @@
         bookings.submit(newRequest);
     }
 
-    /** Where the one engine that was to read the prompt itself has no room, the prompt takes its turn among the others. */
+    /** If the booking was for a decode engine that was to prefill the prompt itself, queues the prompt for a prefill engine. */
     private void bookingRefused(String why) {
         BookingRequest refusedRequest = bookingRequest;
         bookingRequest = null;
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Gives the wait up. Harmless when it is over. */
+    /** Cancels the admission. Does nothing after its end. */
     void cancel() {
         PrefillRequest queuedPrefill = prefillRequest;
         if (queuedPrefill != null) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAttempts.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAttempts.java
@@ -2,9 +2,9 @@
 
 import org.quetzalseam.core.routing.RouteRule;
 
-/** The turns that one generation has had, each from booking to decoding, and whether it may have another. Used on the event loop only. */
+/** Counts the attempts of one generation, each from booking to decoding, and decides whether it may have another. Used on the event loop only. */
 final class GenerationAttempts {
-    /** Turns for one request before it is given up: two that fail say little of the third, three much of the service. */
+    /** Attempts for one request before it is given up: two failures say little about a third attempt, three say much about the service. */
     private static final int MAX_ATTEMPTS = 3;
 
     private final RunContext context;
@@ -19,7 +19,7 @@
         this.service = service;
     }
 
-    /** Returns how many turns have been taken. */
+    /** Returns the number of attempts started. */
     int count() {
         return count;
     }
@@ -28,22 +28,22 @@
         count++;
     }
 
-    /** Notes that a turn has sent nothing and is to be taken anew. */
+    /** Records that the last attempt has sent nothing and is started again; it does not count. */
     void recordPostponed() {
         count--;
     }
 
-    /** Notes that an engine has run the request, or may have. */
+    /** Records that an engine has run the request, or may have run it. */
     void recordRun() {
         runs++;
     }
 
-    /** Decides whether a request that the last engine has not run takes another turn, and pays for it if so. */
+    /** Returns whether a request that the last engine has not run gets another attempt; if so, its cost is taken from the retry budget. */
     boolean acquireRetry() {
         return count < MAX_ATTEMPTS && context.acquireAttempt(service);
     }
 
-    /** Decides whether a request that may have run goes on in another turn, and pays for it if so. */
+    /** Decides whether a request that may have run is resumed in another attempt; if so, its cost is taken from the retry budget. */
     RetryDecision acquireResume() {
         return count < MAX_ATTEMPTS ? context.decideAttempt(route, service, runs) : RetryDecision.TRIES_USED_UP;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
@@ -125,8 +125,8 @@
         PrefillRun newPrefill = new PrefillRun(
                 context, exchange, forwarded, deadline, service, promptTokens, log, new PrefillRun.Listener() {
                     @Override
-                    public void prefilled(Endpoint reader, String handle) {
-                        held.prefilled(new KvCache(reader, handle));
+                    public void prefilled(Endpoint prefillEngine, String handle) {
+                        held.prefilled(new KvCache(prefillEngine, handle));
                         statistics.recordPrefilled();
                         decodeBooked(booked);
                     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
@@ -5,7 +5,7 @@
 import org.quetzalseam.gateway.caller.Exchange;
 import org.quetzalseam.gateway.protocol.RequestFacts;
 
-/** What one generation teaches those that come after it: how long its parts took, and what was read in vain. Used on the event loop only. */
+/** Records measurements of one generation for estimates and metrics: how long its phases took, and wasted prefill. Used on the event loop only. */
 final class GenerationStatistics {
     private final RunContext context;
     private final Exchange exchange;
@@ -24,20 +24,20 @@
         this.log = log;
     }
 
-    /** Notes that memory is booked and the work begins. */
+    /** Records that memory is booked and the work begins. */
     void recordBooked() {
         bookedAtMillis = exchange.ageMillis();
     }
 
-    /** Notes that a prefill engine has read the prompt. */
+    /** Records that a prefill engine has prefilled the prompt. */
     void recordPrefilled() {
         prefilled = true;
         prefilledAtMillis = exchange.ageMillis();
     }
 
     /**
-     * Notes a whole answer. The wait for memory isn't counted in its time: whether the rest still fits is asked again after it. A
-     * stream that goes on from an earlier one is shorter than its caller's estimate says, so nothing is learnt from it.
+     * Records a complete answer. Its time does not include the wait for memory, because whether the rest still fits is decided again
+     * after that wait. A resumed stream is shorter than its caller's estimate, so the answer time is not updated from it.
      */
     void recordAnswered(long events) {
         RequestFacts facts = exchange.facts();
@@ -48,7 +48,7 @@
         prefilled = false;
     }
 
-    /** Notes that whatever has been read of the prompt was read for nothing. */
+    /** Records a completed prefill of the prompt as wasted, if there was one since the last answer. */
     void recordWastedPrefill() {
         TokenDemand demand = exchange.facts().demand();
         if (prefilled && demand != null) {
@@ -57,7 +57,7 @@
         prefilled = false;
     }
 
-    /** Notes the pace at which its caller got events, if any. */
+    /** Records the pace at which the caller received events, if any. */
     void recordStreamPace(StreamPace pace, long earlierAttemptsMillis) {
         if (pace.pieces() > 0) {
             log.streamed(pace, earlierAttemptsMillis);
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/HeldResources.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/HeldResources.java
@@ -2,7 +2,7 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** What engines hold for one generation, and what of it must be given back when the generation ends. Not thread-safe. */
+/** Tracks what engines hold for one generation, and releases what is unused when the generation ends. Not thread-safe. */
 final class HeldResources {
     private final BookingManager bookings;
     private @Nullable BookedMemory memory;
@@ -13,24 +13,24 @@
         this.bookings = bookings;
     }
 
-    /** Notes a booking, not used yet. */
+    /** Records a booking that is not used yet. */
     void booked(BookedMemory booked) {
         memory = booked;
         unusedBooking = booked.id();
     }
 
-    /** Notes a prompt's KV cache, not used yet. */
+    /** Records the KV cache of a prefilled prompt that is not used yet. */
     void prefilled(KvCache kv) {
         unusedKv = kv;
     }
 
-    /** Returns the memory booked, until it is freed. */
+    /** Returns the booked memory, or null if there is none or it was released. */
     @Nullable
     BookedMemory memory() {
         return memory;
     }
 
-    /** Notes that booking and KV cache go to the engine with the request. Returns the KV cache, if there is one. */
+    /** Marks the booking and the KV cache as used by the request that is sent to the engine. Returns the KV cache, if there is one. */
     @Nullable
     KvCache markUsed() {
         KvCache kv = unusedKv;
@@ -39,7 +39,7 @@
         return kv;
     }
 
-    /** Gives back what wasn't used, and notes that the engine has room again. */
+    /** Releases what was not used, and reports that the engine has room again. */
     void release() {
         BookedMemory booked = memory;
         String booking = unusedBooking;
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/KvCache.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/KvCache.java
@@ -3,9 +3,9 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /**
- * The KV cache of a prompt that was read. Immutable.
+ * The KV cache of a prefilled prompt. Immutable.
  *
- * @param holder the engine that keeps it for a short time
- * @param handle the engine's name of it
+ * @param holder the engine that keeps the cache for a short time
+ * @param handle the engine's handle of the cache
  */
 record KvCache(Endpoint holder, String handle) {}
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -9,9 +9,9 @@
 import org.quetzalseam.core.generation.ReadingPool;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
-/** A service's prefill engines as this entry sees them. Used on the event loop only. */
+/** The prefill engines of a service, with this entry's estimates of their backlog. Used on the event loop only. */
 final class PrefillEngines {
-    /** How often engines that are gone are forgotten, in milliseconds. */
+    /** Interval at which removed engines are forgotten, in milliseconds. */
     private static final long FORGET_INTERVAL_MILLIS = 10_000;
 
     private final RunContext context;
@@ -28,7 +28,7 @@
         pool.forget(engine -> !context.directory().usable(engine));
     }
 
-    /** Sets among how many entries the engines are shared. */
+    /** Sets the number of entries that share the engines. */
     void entries(int counted) {
         pool.entries(counted);
     }
@@ -37,7 +37,7 @@
         return EngineExclusion.withoutExcluded(context.directory().usable(service, Stage.PREFILL), context.now());
     }
 
-    /** Returns the engine that is predicted to have read a prompt first, one in the zone among equals. */
+    /** Returns the engine that is predicted to finish prefilling a prompt first; among equals, one in the zone. */
     Optional<Endpoint> best(int tokens, Collection<Endpoint> excluded, String zone) {
         long now = context.now();
         List<Endpoint> reachable = usable().stream()
@@ -52,22 +52,22 @@
         return pool.best(healthy.isEmpty() ? reachable : healthy, tokens, now, ties);
     }
 
-    /** Returns whether a prompt is worth beginning at an engine. */
+    /** Returns whether an engine should begin a prompt now. */
     ReadingPool.Verdict judge(Endpoint engine, int tokens, ReadingPool.Due remaining) {
         return pool.judge(engine, usable().size(), tokens, remaining, context.now());
     }
 
-    /** Returns the usual time of a prefill engine for a token in milliseconds; 0 before any prompt has been read. */
+    /** Returns the usual prefill time per token in milliseconds; 0 before any prompt has been prefilled. */
     double millisPerToken() {
         return pool.millisPerToken();
     }
 
-    /** Returns whether a prompt's first event is predicted to miss the objective. */
+    /** Returns whether the first event for a prompt is predicted to miss the objective. */
     boolean missesObjective(Endpoint engine, int tokens, ReadingPool.Due remaining) {
         return firstEventMillis(engine, tokens) > remaining.inTimeMillis();
     }
 
-    /** Returns the inputs of a verdict on a prompt, for the log. */
+    /** Returns the inputs of a verdict on a prompt as {@code key=value} pairs for the log. */
     String describeInputs(Endpoint engine, int tokens, ReadingPool.Due remaining) {
         long now = context.now();
         return String.format(
@@ -80,12 +80,12 @@
                 pool.shareLeft());
     }
 
-    /** Returns when a prompt's first event comes that an engine begins now, in milliseconds. */
+    /** Returns the predicted time until the first event for a prompt that an engine begins now, in milliseconds. */
     double firstEventMillis(Endpoint engine, int tokens) {
         return pool.firstEventMillis(engine, tokens, context.now());
     }
 
-    /** Notes when a generation's prompt was read, 0 for one that no engine here has read, and when its first event came. */
+    /** Records when a generation's prompt was prefilled, 0 if no prefill engine did so, and when its first event came. */
     void recordFirstEvent(long prefilledAtMillis, long firstEventMillis) {
         if (prefilledAtMillis > 0 && firstEventMillis > prefilledAtMillis) {
             pool.firstEvent((double) (firstEventMillis - prefilledAtMillis));
@@ -96,13 +96,13 @@
         return pool.begin(engine, tokens, context.now(), remaining.objectiveMillis());
     }
 
-    /** Returns whether a reading is to be begun elsewhere. */
+    /** Returns whether a prefill should be restarted at another engine. */
     boolean isLost(ReadingPool<Endpoint>.Reading prefill, Endpoint engine) {
         boolean removed = !engine.member().leaving() && !context.directory().usable(engine);
         return prefill.lost(usable(), removed, context.now());
     }
 
-    /** Returns when the shortest backlog lets in more, in milliseconds; 0 where nothing reads. */
+    /** Returns the time until the shortest backlog admits more prompts, in milliseconds; 0 if there are no prefill engines. */
     double retryAfterMillis(double objectiveMillis) {
         long now = context.now();
         return usable().stream()
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
@@ -6,17 +6,17 @@
 import org.quetzalseam.core.generation.ReadingPool;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
-/** A generation's wait until its prompt can be read. Used on the event loop only. */
+/** A generation's request for the prefill of its prompt, which may have to be queued. Used on the event loop only. */
 final class PrefillRequest {
-    /** What becomes of the wait. */
+    /** Receives the decision on the request. */
     interface Listener {
-        /** The prompt is worth beginning at the engine; there is none where the decode engine has to read it. */
-        void beginPrefill(Optional<Endpoint> reader);
+        /** Called when the engine should begin the prompt; empty if the decode engine has to prefill it. */
+        void beginPrefill(Optional<Endpoint> prefillEngine);
 
-        /** The decode engine is to read it between the tokens of its streams, if it has room now. */
-        void beginInPlace(Endpoint decoder);
+        /** Called when the decode engine is to prefill the prompt between the tokens of its streams, if it has room now. */
+        void beginInPlace(Endpoint decodeEngine);
 
-        /** It won't be read in time to be of use. */
+        /** Called when the prompt will not be prefilled in time to be of use. */
         void refused();
     }
 
@@ -42,27 +42,27 @@
         return deadline.remaining();
     }
 
-    /** Returns the longest pause that its caller, and so others of its kind, are promised, in milliseconds. */
+    /** Returns the objective for the longest pause between events, in milliseconds; it is the same for other generations of the route. */
     double maxPauseMillis() {
         return deadline.maxPauseMillis();
     }
 
-    /** Returns whether it has been sent to a decode engine once: one that had no room then is as full for others. */
+    /** Returns whether a decode engine has been tried for the prefill; one that had no room then is as full for other prompts. */
     boolean triedInPlace() {
         return triedInPlace;
     }
 
-    /** Returns its place among those who wait, or the last one it had. */
+    /** Returns its current or last queue entry; null if it was never queued. */
     ReadingLine<PrefillRequest>.@Nullable Place queueEntry() {
         return queueEntry;
     }
 
-    /** Notes its place among those who wait. */
+    /** Sets its queue entry. */
     void queueEntry(ReadingLine<PrefillRequest>.Place newEntry) {
         queueEntry = newEntry;
     }
 
-    /** Notes why it has to wait. */
+    /** Logs why it has to wait. */
     void logQueued(Endpoint prefillEngine, ReadingPool.Verdict verdict, String inputs) {
         log.prefillQueued(prefillEngine, verdict, inputs);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -15,37 +15,37 @@
 import org.quetzalseam.gateway.protocol.Forwarding;
 import org.quetzalseam.gateway.runtime.Subscription;
 
-/** The reading of one request's prompt at a prefill engine. Used on the event loop only. */
+/** Prefills one request's prompt at a prefill engine, at another one if the first fails. Used on the event loop only. */
 final class PrefillRun {
-    /** The least time between two looks at a silent engine, in milliseconds: a few of its steps. */
+    /** Minimum time between two checks of an unresponsive engine, in milliseconds: a few engine steps. */
     private static final long MIN_CHECK_INTERVAL_MILLIS = 50;
-    /** Engines that are asked for one request. */
+    /** Maximum number of engines that one request is sent to for prefill. */
     private static final int MAX_ENGINES = 2;
 
-    /** Looks at a silent engine in the time after which it may be taken for dead. */
+    /** Number of checks per silence limit, the time without an answer after which an engine may be presumed dead. */
     private static final int CHECKS_PER_SILENCE_LIMIT = 4;
-    /** Why a prompt isn't begun. */
+    /** Reason given when a prompt is not begun. */
     static final String NOT_BEGUN_REASON = "the engines have no time to read the prompt now";
 
-    /** How long before its caller leaves a prompt that isn't read is given up, in milliseconds, so that the refusal still arrives. */
+    /** How long before its caller gives up an unfinished prefill is cancelled, in milliseconds, so that the refusal still arrives. */
     private static final double REFUSAL_LEAD_MILLIS = 200;
-    /** The same, at most, as a part of the time that the caller had left. */
+    /** Upper limit of that lead, as a share of the time that the caller keeps waiting when the prompt is sent. */
     private static final double MAX_REFUSAL_LEAD_SHARE = 0.1;
 
     private static final int MAX_REPLY_BYTES = 64 * 1024;
 
-    /** What becomes of the reading. */
+    /** Receives the result of the prefill. */
     interface Listener {
-        /** The prompt's KV cache lies at the engine under the handle. */
-        void prefilled(Endpoint reader, String handle);
+        /** Called when the engine holds the KV cache of the prompt under the handle. */
+        void prefilled(Endpoint prefillEngine, String handle);
 
-        /** There is no prefill engine: the decode engine has to read the prompt. */
+        /** Called when there is no prefill engine: the decode engine has to prefill the prompt. */
         void noEngine();
 
-        /** The engines have no time for the prompt any more, and nothing has been sent. */
+        /** Called when the engines no longer have time for the prompt and nothing has been sent. */
         void notBegun();
 
-        /** The prompt couldn't be read. */
+        /** Called when the prompt could not be prefilled. */
         void failed(String why);
     }
 
@@ -84,10 +84,10 @@
         this.listener = listener;
     }
 
-    /** Asks the engine that is predicted to have read the prompt first, one near the decode engine among equals. */
-    void start(Endpoint decoder) {
+    /** Sends the prompt to the engine that is predicted to finish it first; among equals, to one in the zone of the decode engine. */
+    void start(Endpoint decodeEngine) {
         Optional<Endpoint> chosen =
-                engines.best(promptTokens, tried, decoder.member().zone());
+                engines.best(promptTokens, tried, decodeEngine.member().zone());
         if (chosen.isEmpty()) {
             listener.noEngine();
             return;
@@ -99,10 +99,10 @@
             refuseOrPostpone(engine, verdict, remaining);
             return;
         }
-        send(engine, decoder, engines.begin(engine, promptTokens, remaining));
+        send(engine, decodeEngine, engines.begin(engine, promptTokens, remaining));
     }
 
-    /** Another engine's part of a prompt may have been read already, so only an untouched one can wait for its turn again. */
+    /** Only a prompt that no engine has received can be queued again: another engine may already have prefilled a part of it. */
     private void refuseOrPostpone(Endpoint engine, ReadingPool.Verdict verdict, ReadingPool.Due remaining) {
         boolean untouched = tried.isEmpty() && verdict != ReadingPool.Verdict.CALLER_LEAVES_SOONER;
         if (untouched) {
@@ -113,28 +113,28 @@
         listener.failed(NOT_BEGUN_REASON);
     }
 
-    private void send(Endpoint engine, Endpoint decoder, ReadingPool<Endpoint>.Reading newPrefill) {
+    private void send(Endpoint engine, Endpoint decodeEngine, ReadingPool<Endpoint>.Reading newPrefill) {
         tried.add(engine);
         prefill = newPrefill;
         long sentAt = context.now();
         WholeReply reply = new WholeReply(
                 MAX_REPLY_BYTES,
-                (answer, body) -> answered(engine, decoder, answer, body, sentAt),
-                failure -> failed(engine, decoder, failure));
+                (answer, body) -> answered(engine, decodeEngine, answer, body, sentAt),
+                failure -> failed(engine, decodeEngine, failure));
         EndpointCall newCall = engine.send(
                 forwarded.head(Forwarding.prefill(engine.member().id(), forwarded.remainingMillis())),
                 exchange.body(),
                 exchange.facts().id(),
                 reply);
         call = newCall;
-        scheduleCheck(Math.round(newPrefill.silenceMillis()), newCall, engine, decoder, newPrefill);
+        scheduleCheck(Math.round(newPrefill.silenceMillis()), newCall, engine, decodeEngine, newPrefill);
         double remainingMillis = deadline.remaining().leftMillis();
         long giveUpAfterMillis =
                 Math.round(remainingMillis - Math.min(REFUSAL_LEAD_MILLIS, MAX_REFUSAL_LEAD_SHARE * remainingMillis));
         giveUpTimer = context.after(Math.max(0, giveUpAfterMillis), () -> giveUp(newCall, engine));
     }
 
-    /** Nothing has run so far, so the caller may ask elsewhere. */
+    /** Cancels the prefill shortly before the caller gives up. Nothing has run so far, so the caller may retry elsewhere. */
     private void giveUp(EndpointCall prefillCall, Endpoint engine) {
         if (!prefillCall.active()) {
             return;
@@ -145,7 +145,7 @@
         log.callFailed(
                 "prefill",
                 engine,
-                new CallFailure(CallFailure.Kind.TIMED_OUT, "the caller leaves before the prompt is read"));
+                new CallFailure(CallFailure.Kind.TIMED_OUT, "the caller gives up before the prefill ends"));
         listener.failed("the prompt isn't read in time");
     }
 
@@ -153,7 +153,7 @@
             long millis,
             EndpointCall prefillCall,
             Endpoint engine,
-            Endpoint decoder,
+            Endpoint decodeEngine,
             ReadingPool<Endpoint>.Reading checkedPrefill) {
         checkTimer = context.after(Math.max(MIN_CHECK_INTERVAL_MILLIS, millis), () -> {
             if (!prefillCall.active()) {
@@ -161,23 +161,26 @@
             }
             if (tried.size() < MAX_ENGINES && engines.isLost(checkedPrefill, engine)) {
                 prefillCall.cancel();
-                failed(engine, decoder, new CallFailure(CallFailure.Kind.TIMED_OUT, "silent, while others read"));
+                failed(
+                        engine,
+                        decodeEngine,
+                        new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in time, while other engines prefill"));
             } else {
                 scheduleCheck(
                         Math.round(checkedPrefill.silenceMillis() / CHECKS_PER_SILENCE_LIMIT),
                         prefillCall,
                         engine,
-                        decoder,
+                        decodeEngine,
                         checkedPrefill);
             }
         });
     }
 
-    private void answered(Endpoint engine, Endpoint decoder, HttpResponse answer, ByteBuf body, long sentAt) {
+    private void answered(Endpoint engine, Endpoint decodeEngine, HttpResponse answer, ByteBuf body, long sentAt) {
         ReadingPool<Endpoint>.Reading answeredPrefill = prefill;
         String text = WholeReply.text(body);
         body.release();
-        // A handle of an ended life may be another prompt's in the next.
+        // A handle of an ended incarnation may denote another prompt's cache in the next incarnation.
         Optional<String> handle = answer.status().code() == 200 && !engine.ended()
                 ? context.protocol().kvHandle(text)
                 : Optional.empty();
@@ -192,7 +195,7 @@
                     "prefill-refused",
                     engine,
                     "status=" + answer.status().code() + " " + context.describeBudget(service));
-            retryElsewhere(decoder);
+            retryElsewhere(decodeEngine);
             return;
         }
         engine.work().taken();
@@ -202,22 +205,22 @@
         listener.prefilled(engine, handle.get());
     }
 
-    private void failed(Endpoint engine, Endpoint decoder, CallFailure failure) {
+    private void failed(Endpoint engine, Endpoint decodeEngine, CallFailure failure) {
         end();
         engine.health().failed(context.now());
         log.callFailed("prefill", engine, failure);
-        retryElsewhere(decoder);
+        retryElsewhere(decodeEngine);
     }
 
-    private void retryElsewhere(Endpoint decoder) {
+    private void retryElsewhere(Endpoint decodeEngine) {
         if (tried.size() < MAX_ENGINES && context.acquireRetry(service)) {
-            start(decoder);
+            start(decodeEngine);
             return;
         }
         listener.failed("the prompt can't be read");
     }
 
-    /** Gives the reading up, if it is still under way. */
+    /** Cancels the prefill, if it is still in progress. */
     void cancel() {
         EndpointCall currentCall = call;
         if (currentCall != null && currentCall.active()) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -10,13 +10,13 @@
 import org.quetzalseam.gateway.entry.EntryCount;
 
 /**
- * Decides for this entry's generations when and where their prompts are read: by a prefill engine while those keep up, else by a
+ * Decides when and where the prompts of this entry's generations are prefilled: by a prefill engine while these keep up, else by a
  * decode engine between the tokens of its streams, else later. Used on the event loop only.
  */
 final class PrefillScheduler {
-    /** How often those who wait are looked at, in milliseconds: a part of the time that reading a prompt takes. */
+    /** Interval between two checks of the queue, in milliseconds: a fraction of the time that a prefill takes. */
     private static final long CHECK_INTERVAL_MILLIS = 20;
-    /** How often engines that are gone are forgotten, in milliseconds. */
+    /** Interval at which removed engines are forgotten, in milliseconds. */
     private static final long FORGET_INTERVAL_MILLIS = 10_000;
 
     private final RunContext context;
@@ -36,12 +36,12 @@
                         () -> inPlace.forget(engine -> !context.directory().usable(engine)));
     }
 
-    /** Sets among how many entries the engines are divided, and this one's place among them. */
+    /** Sets the number of entries among which the engines are divided, and this entry's rank. */
     void entries(EntryCount counted) {
         inPlace.entries(counted.entries(), counted.rank());
     }
 
-    /** Lets a prompt begin when it is its turn; its outcome may follow before this call returns. */
+    /** Begins, refuses or queues a prompt; its listener may be called before this method returns. */
     void submit(PrefillRequest request) {
         ReadingPool.Due remaining = request.remaining();
         if (queue.mustQueue(remaining, context.now()) || !decide(request, remaining)) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Takes a prompt out that isn't to be read any more. Harmless when it doesn't wait. */
+    /** Removes a prompt that no longer needs prefill from the queue. Does nothing if it is not queued. */
     void remove(PrefillRequest request) {
         ReadingLine<PrefillRequest>.Place entry = request.queueEntry();
         if (entry != null) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Begins or refuses a prompt, if either is due. */
+    /** Begins or refuses a prompt if possible now. Returns whether it did. */
     private boolean decide(PrefillRequest request, ReadingPool.Due remaining) {
         Optional<Endpoint> best = best(request);
         if (best.isEmpty()) {
@@ -75,8 +75,9 @@
     }
 
     /**
-     * A prompt that a prefill engine would read too late goes to a decode engine that is in time with it; once, as one without room
-     * has none for it soon. Those who are late anyway don't hold up others' streams.
+     * Sends a prompt that a prefill engine would finish too late to a decode engine that finishes it in time. Tries this once per
+     * prompt, because a decode engine without room will not have room for it soon. Prompts that are late in any case do not delay the
+     * streams of others.
      */
     private boolean tryDecodeEngine(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
         boolean inTimeInPlace = remaining.inTimeMillis() > request.promptTokens() * engines.millisPerToken();
@@ -85,7 +86,7 @@
                 || !engines.missesObjective(prefillEngine, request.promptTokens(), remaining)) {
             return false;
         }
-        Optional<Endpoint> decodeEngine = decoder(request);
+        Optional<Endpoint> decodeEngine = findDecodeEngine(request);
         decodeEngine.ifPresent(engine -> {
             remove(request);
             request.beginInPlace(engine);
@@ -126,8 +127,8 @@
                 + " waiting=" + queue.size();
     }
 
-    /** Returns a decode engine that may read the prompt now. */
-    private Optional<Endpoint> decoder(PrefillRequest request) {
+    /** Returns a decode engine that may prefill the prompt now, and records the prompt as begun there. */
+    private Optional<Endpoint> findDecodeEngine(PrefillRequest request) {
         long now = context.now();
         double millisPerToken = engines.millisPerToken();
         Optional<Endpoint> engine = inPlace.engine(
@@ -154,7 +155,7 @@
         }
     }
 
-    /** Lets at most one begin or end: what a prompt takes of the engines' time shows only when it is sent. */
+    /** Begins or refuses at most one prompt: the load that a prompt adds to the engines is known only after it is sent. */
     private void checkQueue() {
         int sizeBefore = queue.size();
         for (ReadingLine<PrefillRequest>.Place entry : queue.order(context.now())) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RetryDecision.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RetryDecision.java
@@ -1,12 +1,12 @@
 package org.quetzalseam.gateway.route;
 
-/** Whether a request that may have run can be sent again, and if not, what forbids it. */
+/** States whether a request that may have run is sent again, and if not, why. */
 enum RetryDecision {
     ALLOWED,
-    /** Its route doesn't say that it may run twice, or be resumed. */
+    /** The route does not allow it to run twice or to be resumed. */
     NOT_IDEMPOTENT,
-    /** As many endpoints as its route allows have run it, or it has waited for memory as often as is of use. */
+    /** It has run at as many endpoints as its route allows, or has waited for memory in as many attempts as are of use. */
     TRIES_USED_UP,
-    /** This entry's share of the service's retry budget is spent. */
+    /** This entry's share of the service's retry budget is used up. */
     BUDGET_SPENT
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryRestoreTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryRestoreTest.java
@@ -12,8 +12,8 @@
 import org.quetzalseam.gateway.store.MemoryStore;
 
 /**
- * The count of entries when names have gone from the store that belong to entries that live. An entry that left its name once
- * never left it again: it counted two where three lived, and its rank was another one's too.
+ * The entry count when names of running entries are missing from the store. Guards against an entry that registers its name only
+ * once: after a restore it counted two entries where three were running, and its rank was also the rank of another entry.
  */
 class EntryRegistryRestoreTest {
     private static final String KIND = "quetzalseam-entries";
--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryTest.java
@@ -26,7 +26,7 @@
                 .start();
     }
 
-    /** Puts the names of other entries in the store. */
+    /** Registers other entries in the store. */
     private void others(int count) {
         for (int i = 0; i < count; i++) {
             store.put("quetzalseam-entries", "other-" + i, JsonNodeFactory.instance.objectNode());
@@ -50,8 +50,8 @@
         assertThat(counted).containsExactly(5, 6);
     }
 
-    // Guards against an entry that takes the whole of a shared budget, as its first count was made before the others'
-    // names were there.
+    // Guards against an entry that takes an entire shared budget because it made its first count before the others
+    // were registered.
     @Test
     void entriesThatStartTogetherDoNotCountThemselvesAlone() {
         start();
@@ -60,7 +60,7 @@
         assertThat(counted).containsExactly(5);
     }
 
-    // Guards against the same where an old answer lacks the others.
+    // Guards against the same fault when a stale list lacks the other entries.
     @Test
     void anEntryThatIsAddedDoesNotCountFromAnOldAnswer() {
         others(4);
