--- a/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryRegistry.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryRegistry.java
@@ -17,19 +17,25 @@
  * Registers this entry's name in the platform's store and counts the entries that share the site's budgets. Used on the event
  * loop only.
  *
- * <p>The names of killed entries stay in the store, so the count may be too high, but is not too low for long: a budget share that is
- * computed from it is then too small, never too large. A newly registered entry waits before its first count, so that entries that
- * start at the same time are registered as well, and does not count from a stale list. A name that is missing from the store is
- * registered again. After the store was restored from an older copy, the other entries get time to register again before the
- * count may fall.
+ * <p>The names of killed entries stay in the store, so the count may be too high, but is not too low for long: a budget
+ * share that is computed from it is then too small, never too large. A newly registered entry waits before its first count,
+ * so that entries that start at the same time are registered as well, and does not count from a stale list. A name that is
+ * missing from the store is registered again. After the store was restored from an older copy, the other entries get time
+ * to register again before the count may fall.
  */
 public final class EntryRegistry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** Kind of the store objects that hold the names of entries. */
     private static final String KIND = "quetzalseam-entries";
-    /** Interval between two counts at a small site, in milliseconds: entries come and go within minutes, and each call to the store has a cost. */
+    /**
+     * Interval between two counts at a small site, in milliseconds: entries come and go within minutes, and each call to
+     * the store has a cost.
+     */
     private static final long COUNT_INTERVAL_MILLIS = 5_000;
-    /** Delay between the registration of a new name and the first count, in milliseconds: processes that start together differ by less. */
+    /**
+     * Delay between the registration of a new name and the first count, in milliseconds: processes that start together
+     * differ by less.
+     */
     private static final long FIRST_COUNT_DELAY_MILLIS = 1_000;
     /**
      * Number of entries for which the time between two counts grows by one interval: a name takes some 150 bytes of a list, so
@@ -37,8 +43,8 @@
      */
     private static final int ENTRIES_PER_EXTRA_INTERVAL = 20;
     /**
-     * Time after a restore of the store from an older copy during which the count may not fall, in nanoseconds: each entry notices
-     * the restore within one interval and registers its name in the next one at the latest.
+     * Time after a restore of the store from an older copy during which the count may not fall, in nanoseconds: each entry
+     * notices the restore within one interval and registers its name in the next one at the latest.
      */
     private static final long RESTORE_HOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(2 * COUNT_INTERVAL_MILLIS);
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/Protocol.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/Protocol.java
@@ -7,8 +7,8 @@
 import org.quetzalseam.core.fleet.Stage;
 
 /**
- * Translates between the gateway and a platform's wire format: header names, calls to engines and their replies. Implementations
- * only translate and are stateless.
+ * Translates between the gateway and a platform's wire format: header names, calls to engines and their replies.
+ * Implementations only translate and are stateless.
  */
 public interface Protocol {
     /** Returns the name of the header that identifies an attempt of a request; replies repeat it. */
@@ -26,7 +26,10 @@
     /** Sets the time after which the caller may retry. */
     void setRetryAfter(HttpHeaders headers, long millis);
 
-    /** Returns a call that books decode memory and a slot; {@code millis} is how long the booking holds before its request arrives. */
+    /**
+     * Returns a call that books decode memory and a slot; {@code millis} is how long the booking holds before its request
+     * arrives.
+     */
     FullHttpRequest bookMemory(int tokens, long millis);
 
     /** Returns the id of a booking from the reply to {@link #bookMemory}. */
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
@@ -21,17 +21,17 @@
 /**
  * Books decode memory at the engines of a service for this entry's generations. Used on the event loop only.
  *
- * <p>The engines' own bookings are the state that all entries share, without messages between the entries: a full engine refuses. Requests
- * that find no room are queued here and retried: first those that can still meet their objective, and among them those with the lowest
- * cost, because every answer is worth about the same and more of the cheap ones fit.
+ * <p>The engines' own bookings are the state that all entries share, without messages between the entries: a full engine
+ * refuses. Requests that find no room are queued here and retried: first those that can still meet their objective, and
+ * among them those with the lowest cost, because every answer is worth about the same and more of the cheap ones fit.
  */
 final class BookingManager {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** How long an engine that refused is not asked again for as much memory, in nanoseconds: a few engine steps. */
     private static final long RETRY_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
     /**
-     * The same pause for requests that are already late, in nanoseconds: so much longer that freed memory is nearly always found first
-     * by a request, at this entry or another, whose answer can still be in time.
+     * The same pause for requests that are already late, in nanoseconds: so much longer that freed memory is nearly always
+     * found first by a request, at this entry or another, whose answer can still be in time.
      */
     private static final long LATE_RETRY_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
     /** Interval between two checks of the queue, in milliseconds. */
@@ -46,7 +46,10 @@
 
     /** Weight of the newest generation in the typical time: about the last twenty generations count. */
     private static final double NEWEST_WEIGHT = 0.05;
-    /** Assumed time of a generation before the first one has ended, in milliseconds; it has the weight of a single generation. */
+    /**
+     * Assumed time of a generation before the first one has ended, in milliseconds; it has the weight of a single
+     * generation.
+     */
     private static final double INITIAL_TYPICAL_MILLIS = 3_000;
     /** Share of the retry-after time by which it is spread randomly in either direction. */
     private static final double RETRY_AFTER_SPREAD_SHARE = 0.25;
@@ -137,9 +140,9 @@
     }
 
     /**
-     * Returns the time after which a refused caller is expected to find room, in milliseconds: all that fills the engines now has ended
-     * after about the typical time of a generation, or when the prompts before it are prefilled, if that takes longer. The result is
-     * spread randomly, so that callers that were refused together do not retry together.
+     * Returns the time after which a refused caller is expected to find room, in milliseconds: all that fills the engines
+     * now has ended after about the typical time of a generation, or when the prompts before it are prefilled, if that
+     * takes longer. The result is spread randomly, so that callers that were refused together do not retry together.
      */
     long retryAfterMillis(double objectiveMillis) {
         double spread = 1
@@ -236,7 +239,10 @@
         });
     }
 
-    /** Checks that the spare room for a long generation is free. Only the usual size stays booked: the spare room is booked and released at once. */
+    /**
+     * Checks that the spare room for a long generation is free. Only the usual size stays booked: the spare room is booked
+     * and released at once.
+     */
     private void checkSpareRoom(BookingRequest request, Endpoint engine, String id) {
         if (request.finished() || request.room() == 0) {
             granted(request, engine, id);
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingRequest.java
@@ -33,7 +33,8 @@
      * @param cost expected cost of serving the generation; of two queued requests, the cheaper is served first
      * @param inTimeUntil monotonic time in nanoseconds up to which a booking still meets the latency objective
      * @param waitUntil monotonic time in nanoseconds at which the request is refused
-     * @param requiredEngine the only acceptable engine, in which case the request is refused as soon as that engine has no room; null if any engine is acceptable
+     * @param requiredEngine the only acceptable engine, in which case the request is refused as soon as that engine has no
+     *     room; null if any engine is acceptable
      * @param listener receives the result
      */
     BookingRequest(
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EngineExclusion.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EngineExclusion.java
@@ -8,8 +8,8 @@
     private EngineExclusion() {}
 
     /**
-     * Returns the engines that are not excluded, or all engines if more than half would be excluded. In that case the cause is most
-     * likely not the engines themselves, but for example expiring caches or a slow network.
+     * Returns the engines that are not excluded, or all engines if more than half would be excluded. In that case the cause
+     * is most likely not the engines themselves, but for example expiring caches or a slow network.
      */
     static List<Endpoint> withoutExcluded(List<Endpoint> engines, long now) {
         List<Endpoint> remaining =
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EntrySettings.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EntrySettings.java
@@ -9,7 +9,8 @@
  * @param retrySlack retries per window that all entries together may make in addition
  * @param retryWindowMillis the window over which retries are counted
  * @param bookedDeviations standard deviations above a generation's median length for which memory stays booked
- * @param admittedDeviations standard deviations above the median length for which memory must be free when a generation is admitted
+ * @param admittedDeviations standard deviations above the median length for which memory must be free when a generation is
+ *     admitted
  * @param prefillShare share of a service's engines that prefill prompts, assumed until load has been observed
  * @param firstStart whether the entire site starts for the first time
  */
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EventStreamParser.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EventStreamParser.java
@@ -39,7 +39,10 @@
         buffered.clear();
     }
 
-    /** Appends bytes and returns the events that are now complete, possibly none. Releases {@code piece}; the caller releases the result. */
+    /**
+     * Appends bytes and returns the events that are now complete, possibly none. Releases {@code piece}; the caller
+     * releases the result.
+     */
     ByteBuf append(ByteBuf piece) {
         buffered.writeBytes(piece);
         piece.release();
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
@@ -8,13 +8,14 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /**
- * Admits one generation: waits until its prompt may be prefilled, then until decode memory is booked, each only as long as the wait is
- * of use. Used on the event loop only.
+ * Admits one generation: waits until its prompt may be prefilled, then until decode memory is booked, each only as long as
+ * the wait is of use. Used on the event loop only.
  */
 final class GenerationAdmission {
     /**
-     * How long a generation that already misses its objective may wait for memory, in milliseconds: long enough for memory that is
-     * just being freed, and too short for late generations to take much memory from those at other entries that could be in time.
+     * How long a generation that already misses its objective may wait for memory, in milliseconds: long enough for memory
+     * that is just being freed, and too short for late generations to take much memory from those at other entries that
+     * could be in time.
      */
     private static final long LATE_WAIT_MILLIS = 1_000;
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAttempts.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAttempts.java
@@ -2,9 +2,15 @@
 
 import org.quetzalseam.core.routing.RouteRule;
 
-/** Counts the attempts of one generation, each from booking to decoding, and decides whether it may have another. Used on the event loop only. */
+/**
+ * Counts the attempts of one generation, each from booking to decoding, and decides whether it may have another. Used on
+ * the event loop only.
+ */
 final class GenerationAttempts {
-    /** Attempts for one request before it is given up: two failures say little about a third attempt, three say much about the service. */
+    /**
+     * Attempts for one request before it is given up: two failures say little about a third attempt, three say much about
+     * the service.
+     */
     private static final int MAX_ATTEMPTS = 3;
 
     private final RunContext context;
@@ -38,12 +44,18 @@
         runs++;
     }
 
-    /** Returns whether a request that the last engine has not run gets another attempt; if so, its cost is taken from the retry budget. */
+    /**
+     * Returns whether a request that the last engine has not run gets another attempt; if so, its cost is taken from the
+     * retry budget.
+     */
     boolean acquireRetry() {
         return count < MAX_ATTEMPTS && context.acquireAttempt(service);
     }
 
-    /** Decides whether a request that may have run is resumed in another attempt; if so, its cost is taken from the retry budget. */
+    /**
+     * Decides whether a request that may have run is resumed in another attempt; if so, its cost is taken from the retry
+     * budget.
+     */
     RetryDecision acquireResume() {
         return count < MAX_ATTEMPTS ? context.decideAttempt(route, service, runs) : RetryDecision.TRIES_USED_UP;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
@@ -15,11 +15,11 @@
 import org.quetzalseam.gateway.runtime.Subscription;
 
 /**
- * One streamed generation: decode memory is booked, the prompt is read at a prefill engine, the KV cache goes to the decode
- * engine, and its events are passed on as they come. Used on the event loop only.
+ * Runs one streamed generation: books decode memory, has the prompt prefilled at a prefill engine and its KV cache fetched
+ * by the decode engine, and forwards the events as they arrive. Used on the event loop only.
  */
 final class GenerationRun {
-    /** Latency objectives after which an engine without a first event is taken to be silent. */
+    /** Multiple of the latency objective after which an engine that has sent no first event counts as unresponsive. */
     private static final int UNRESPONSIVE_OBJECTIVES = 2;
 
     private final RunContext context;
@@ -105,7 +105,7 @@
         held.booked(booked);
         log.booked(booked.engine(), booked.tokens());
         if (!mayHaveRun && !context.endsInTime(exchange, route)) {
-            // Nothing has run so far: the last moment at which a refusal is true.
+            // Nothing has run so far. This is the last moment at which a refusal can truthfully state that.
             finish("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
             context.refuseDraining(exchange);
             return;
@@ -226,7 +226,10 @@
         }
     }
 
-    /** Either the engine takes nothing just now, or it couldn't have the KV cache from its reader. */
+    /**
+     * Records a refusal at both engines: either the decode engine accepts nothing now, or it could not fetch the KV cache
+     * from the prefill engine.
+     */
     private void recordRefusal(Endpoint engine, @Nullable Endpoint prefillEngine) {
         long now = context.now();
         engine.work().turnedAway(now);
@@ -268,7 +271,7 @@
         resumeElsewhere(engine, failure.kind().toString());
     }
 
-    /** The engine has not run it: it may be booked, read and sent again. */
+    /** Starts another attempt after an engine that has not run the request: it may be booked, prefilled and sent again. */
     private void retryNotRun(String why) {
         if (attempts.acquireRetry()) {
             statistics.recordWastedPrefill();
@@ -278,7 +281,7 @@
         }
     }
 
-    /** The engine may have run it: it may go on only where its route says so. */
+    /** Resumes the stream after an engine that may have run the request, if its route allows that. */
     private void resumeElsewhere(Endpoint engine, String why) {
         relay.events().discardIncompleteEvent();
         RetryDecision decision = attempts.acquireResume();
@@ -304,7 +307,10 @@
         }
     }
 
-    /** No engine takes it now: a refusal if it has run nowhere. */
+    /**
+     * Ends the request because no engine accepts it now: with a refusal if it has run nowhere, else with an unknown
+     * outcome.
+     */
     private void giveUp(String why) {
         if (finished) {
             return;
@@ -324,7 +330,7 @@
         }
     }
 
-    /** An engine that has let its caller wait for twice the objective without a first event counts as failing. */
+    /** Records a failure of the engine if the caller has waited for more than twice the objective without a first event. */
     private void recordMissingFirstEvent(@Nullable EndpointCall running) {
         BookedMemory booked = held.memory();
         boolean overdue = exchange.ageMillis() > UNRESPONSIVE_OBJECTIVES * route.targetMillis();
@@ -368,7 +374,7 @@
         finish("caller-gone", 0);
     }
 
-    /** Ends what runs, waits or is held for this request anywhere. */
+    /** Cancels and releases all that is running, queued or held for this request. */
     private void cancelWork() {
         GenerationAdmission currentAdmission = admission;
         if (currentAdmission != null) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
@@ -5,7 +5,10 @@
 import org.quetzalseam.gateway.caller.Exchange;
 import org.quetzalseam.gateway.protocol.RequestFacts;
 
-/** Records measurements of one generation for estimates and metrics: how long its phases took, and wasted prefill. Used on the event loop only. */
+/**
+ * Records measurements of one generation for estimates and metrics: how long its phases took, and wasted prefill. Used on
+ * the event loop only.
+ */
 final class GenerationStatistics {
     private final RunContext context;
     private final Exchange exchange;
@@ -36,8 +39,9 @@
     }
 
     /**
-     * Records a complete answer. Its time does not include the wait for memory, because whether the rest still fits is decided again
-     * after that wait. A resumed stream is shorter than its caller's estimate, so the answer time is not updated from it.
+     * Records a complete answer. Its time does not include the wait for memory, because whether the rest still fits is
+     * decided again after that wait. A resumed stream is shorter than its caller's estimate, so the answer time is not
+     * updated from it.
      */
     void recordAnswered(long events) {
         RequestFacts facts = exchange.facts();
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/HeldResources.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/HeldResources.java
@@ -30,7 +30,10 @@
         return memory;
     }
 
-    /** Marks the booking and the KV cache as used by the request that is sent to the engine. Returns the KV cache, if there is one. */
+    /**
+     * Marks the booking and the KV cache as used by the request that is sent to the engine. Returns the KV cache, if there
+     * is one.
+     */
     @Nullable
     KvCache markUsed() {
         KvCache kv = unusedKv;
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
@@ -42,12 +42,18 @@
         return deadline.remaining();
     }
 
-    /** Returns the objective for the longest pause between events, in milliseconds; it is the same for other generations of the route. */
+    /**
+     * Returns the objective for the longest pause between events, in milliseconds; it is the same for other generations of
+     * the route.
+     */
     double maxPauseMillis() {
         return deadline.maxPauseMillis();
     }
 
-    /** Returns whether a decode engine has been tried for the prefill; one that had no room then is as full for other prompts. */
+    /**
+     * Returns whether a decode engine has been tried for the prefill; one that had no room then is as full for other
+     * prompts.
+     */
     boolean triedInPlace() {
         return triedInPlace;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -27,7 +27,10 @@
     /** Reason given when a prompt is not begun. */
     static final String NOT_BEGUN_REASON = "the engines have no time to read the prompt now";
 
-    /** How long before its caller gives up an unfinished prefill is cancelled, in milliseconds, so that the refusal still arrives. */
+    /**
+     * How long before its caller gives up an unfinished prefill is cancelled, in milliseconds, so that the refusal still
+     * arrives.
+     */
     private static final double REFUSAL_LEAD_MILLIS = 200;
     /** Upper limit of that lead, as a share of the time that the caller keeps waiting when the prompt is sent. */
     private static final double MAX_REFUSAL_LEAD_SHARE = 0.1;
@@ -84,7 +87,10 @@
         this.listener = listener;
     }
 
-    /** Sends the prompt to the engine that is predicted to finish it first; among equals, to one in the zone of the decode engine. */
+    /**
+     * Sends the prompt to the engine that is predicted to finish it first; among equals, to one in the zone of the decode
+     * engine.
+     */
     void start(Endpoint decodeEngine) {
         Optional<Endpoint> chosen =
                 engines.best(promptTokens, tried, decodeEngine.member().zone());
@@ -102,7 +108,10 @@
         send(engine, decodeEngine, engines.begin(engine, promptTokens, remaining));
     }
 
-    /** Only a prompt that no engine has received can be queued again: another engine may already have prefilled a part of it. */
+    /**
+     * Only a prompt that no engine has received can be queued again: another engine may already have prefilled a part of
+     * it.
+     */
     private void refuseOrPostpone(Endpoint engine, ReadingPool.Verdict verdict, ReadingPool.Due remaining) {
         boolean untouched = tried.isEmpty() && verdict != ReadingPool.Verdict.CALLER_LEAVES_SOONER;
         if (untouched) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -10,8 +10,8 @@
 import org.quetzalseam.gateway.entry.EntryCount;
 
 /**
- * Decides when and where the prompts of this entry's generations are prefilled: by a prefill engine while these keep up, else by a
- * decode engine between the tokens of its streams, else later. Used on the event loop only.
+ * Decides when and where the prompts of this entry's generations are prefilled: by a prefill engine while these keep up,
+ * else by a decode engine between the tokens of its streams, else later. Used on the event loop only.
  */
 final class PrefillScheduler {
     /** Interval between two checks of the queue, in milliseconds: a fraction of the time that a prefill takes. */
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Sends a prompt that a prefill engine would finish too late to a decode engine that finishes it in time. Tries this once per
-     * prompt, because a decode engine without room will not have room for it soon. Prompts that are late in any case do not delay the
-     * streams of others.
+     * Sends a prompt that a prefill engine would finish too late to a decode engine that finishes it in time. Tries this
+     * once per prompt, because a decode engine without room will not have room for it soon. Prompts that are late in any
+     * case do not delay the streams of others.
      */
     private boolean tryDecodeEngine(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
         boolean inTimeInPlace = remaining.inTimeMillis() > request.promptTokens() * engines.millisPerToken();
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
@@ -23,9 +23,15 @@
 /** Finds the route of each request and starts its run. Used on the event loop only. */
 public final class RequestRouter {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** When to come back to an entry that doesn't know its routes yet: about its time to start, in milliseconds. */
+    /**
+     * Retry-after time while the entry does not know its routes yet, in milliseconds: about the time that it needs to
+     * start.
+     */
     private static final long STARTING_RETRY_AFTER_MILLIS = 500;
-    /** When to come back to an entry that can't know whether a route exists: it asks the store some times a second. */
+    /**
+     * Retry-after time while the entry cannot know whether a route exists, in milliseconds: it asks the store several times
+     * a second.
+     */
     private static final long IN_DOUBT_RETRY_AFTER_MILLIS = 500;
 
     private final RunContext context;
@@ -42,7 +48,7 @@
         this.requestsInDoubt = new WaitingRequests(context, this::refuseInDoubt);
     }
 
-    /** Takes a version of the desired state, unless it is older than the one in force. */
+    /** Puts a version of the desired state in force, unless it is not newer than the one in force. */
     public void update(RouteTable table) {
         RouteTable present = routes;
         if (present != null && present.version() >= table.version()) {
@@ -55,17 +61,17 @@
         routeEarlyRequests();
     }
 
-    /** Takes what tells how well the desired state is known. */
+    /** Sets the source that states how current the known desired state is. */
     public void knowledge(KindFreshness desiredState) {
         knowledge = desiredState;
     }
 
-    /** Takes settings that were read again. */
+    /** Applies settings that were read again. */
     public void update(EntrySettings settings) {
         context.settings(settings);
     }
 
-    /** Takes the number of entries that share the site's budgets. */
+    /** Sets the number of entries that share the site's budgets, and this entry's rank. */
     public void entries(EntryCount counted) {
         context.entries(counted);
     }
@@ -76,30 +82,30 @@
         return table == null ? 0 : table.version();
     }
 
-    /** Returns whether the entry can serve: it knows its routes and its endpoints. */
+    /** Returns whether the entry can serve requests: it knows its routes and its endpoints. */
     public boolean ready() {
         return routes != null && context.directory().known();
     }
 
-    /** Returns what callers may send. */
+    /** Returns the limits on what callers may send. */
     public CallerLimits limits() {
         RouteTable table = routes;
         return table == null ? CallerLimits.DEFAULT : table.limits();
     }
 
-    /** From now on takes only what can end in the rest of the grace period. */
+    /** Starts draining: from now on accepts only requests that can end within the grace period. */
     public void startDraining(GracePeriod period) {
         context.startDraining(period);
         earlyRequests.refuseAll();
         requestsInDoubt.refuseAll();
     }
 
-    /** Answers a request. */
+    /** Routes a request and has it answered. */
     public void route(Exchange exchange) {
         RouteTable table = routes;
         if (table == null || !context.directory().known()) {
-            // A process that has just started is asked before it has heard from the store; its callers needn't come
-            // back for that.
+            // A process that has just started gets requests before the first response from the store. It holds
+            // them briefly, so that the callers need not retry.
             earlyRequests.add(exchange);
             return;
         }
@@ -112,7 +118,10 @@
         start(exchange, found.get(), table.version());
     }
 
-    /** A route may have been added since the store was last heard of, so only who knows the newest state denies one. */
+    /**
+     * Answers that there is no route only if the newest state is known, because a route may have been added since the last
+     * response of the store.
+     */
     private void handleMissingRoute(Exchange exchange, String host, long version) {
         KindFreshness currentKnowledge = knowledge;
         if (currentKnowledge != null && !currentKnowledge.current()) {
@@ -158,7 +167,7 @@
         context.refuse(exchange, "not ready yet", STARTING_RETRY_AFTER_MILLIS);
     }
 
-    /** Routes the requests that came before the routes and the endpoints were known. Call it when either has been learnt. */
+    /** Routes the requests that arrived before the routes and the endpoints were known. Call it when either becomes known. */
     public void routeEarlyRequests() {
         if (ready()) {
             earlyRequests.removeAll().forEach(this::route);
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -29,9 +29,9 @@
 import org.quetzalseam.gateway.runtime.Subscription;
 import org.quetzalseam.gateway.runtime.Timers;
 
-/** What all requests of an entry share. Used on the event loop only. */
+/** Holds the state that all requests of an entry share. Used on the event loop only. */
 final class RunContext {
-    /** Why a leaving entry doesn't begin a request. */
+    /** Reason given when a draining entry refuses a request. */
     private static final String STOPS_SOONER = "this entry stops before the answer would end";
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -42,7 +42,7 @@
     private final GatewayMetrics metrics;
     private final long createdAt;
     private EntrySettings settings;
-    /** The entries that share the site; null until they have been counted. */
+    /** The number of entries that share the site; null before the first count. */
     private @Nullable EntryCount entries;
 
     private @Nullable GracePeriod grace;
@@ -96,14 +96,15 @@
         return timers.after(millis, call);
     }
 
-    /** Takes one retry from this entry's share of the budget. Returns false when none is left. */
+    /** Takes one retry from this entry's share of the retry budget. Returns false if none is left. */
     boolean acquireRetry(String service) {
         return acquireRetries(service, 1);
     }
 
     /**
-     * Takes what another turn of a generation costs: one retry for its run, and one for the reading of its prompt, as only the
-     * first reading of a request is free. Returns false when the budget has less.
+     * Takes the cost of another attempt of a generation from the retry budget: one retry for the run, and one for the
+     * prefill of its prompt, because only the first prefill of a request is free. Returns false if less is left in the
+     * budget.
      */
     boolean acquireAttempt(String service) {
         return acquireRetries(service, arrivalsPerAttempt(service));
@@ -119,7 +120,7 @@
         return allowed;
     }
 
-    /** Returns the inputs of a decision on a retry at a service, for the log. */
+    /** Returns the inputs of a retry decision at a service as {@code key=value} pairs for the log. */
     String describeBudget(String service) {
         RetryAllowance.Inputs inputs = retries(service).inputs(now());
         EntryCount counted = entries;
@@ -134,12 +135,15 @@
                 TimeUnit.NANOSECONDS.toMillis(inputs.upNanos()));
     }
 
-    /** Decides whether a request that has run so often may be sent again, and takes the retry if so. */
+    /**
+     * Decides whether a request that may have run the given number of times is sent again; if so, takes the retry from the
+     * budget.
+     */
     RetryDecision decideRetry(RouteRule route, String service, int runs) {
         return decideRetry(route, service, runs, 1);
     }
 
-    /** The same for a generation, which takes another turn from booking to decoding. */
+    /** Decides the same for a generation, which needs another attempt from booking to decoding. */
     RetryDecision decideAttempt(RouteRule route, String service, int runs) {
         return decideRetry(route, service, runs, arrivalsPerAttempt(service));
     }
@@ -196,7 +200,7 @@
         return callerWaits.computeIfAbsent(route, name -> new CallerPatience());
     }
 
-    /** Notes that the process has been told to stop. Being told again doesn't put the end off. */
+    /** Starts draining because the process is to stop. Further calls have no effect and do not postpone the end. */
     void startDraining(GracePeriod period) {
         if (grace == null) {
             grace = period;
@@ -208,8 +212,8 @@
     }
 
     /**
-     * Returns whether a request that begins now ends before this process does. One that doesn't would be cut, and its caller
-     * couldn't tell whether it has run; refused, it goes elsewhere.
+     * Returns whether a request that begins now is expected to end before this process does. Otherwise it would be cut, and
+     * its caller could not know whether it has run; if it is refused, the caller can retry elsewhere.
      */
     boolean endsInTime(Exchange exchange, RouteRule route) {
         GracePeriod period = grace;
@@ -228,7 +232,7 @@
         return false;
     }
 
-    /** Returns what is known of the time that a route's answers take. */
+    /** Returns the statistics of the answer times of a route. */
     AnswerTime answerTime(RouteRule route) {
         return answerTimes.computeIfAbsent(route.name(), name -> new AnswerTime());
     }
@@ -246,13 +250,13 @@
         return manager;
     }
 
-    /** Refuses a request because this entry stops before it would end. */
+    /** Refuses a request because this entry stops before the request would end. */
     void refuseDraining(Exchange exchange) {
-        GracePeriod period = Objects.requireNonNull(grace, "not leaving");
+        GracePeriod period = Objects.requireNonNull(grace, "the entry is not draining");
         answerRefused(exchange, STOPS_SOONER, period.comeBackMillis(now(), random()));
     }
 
-    /** Refuses a request that has not run and won't, and says when to come back. */
+    /** Refuses a request that has not run and will not run, with the time after which to retry. */
     void refuse(Exchange exchange, String why, long retryAfterMillis) {
         GracePeriod period = grace;
         answerRefused(
@@ -272,7 +276,7 @@
         exchange.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, why, headers);
     }
 
-    /** Tells of a failure that says nothing of whether the request has run. */
+    /** Answers with a failure that does not state whether the request has run. */
     void fail(Exchange exchange, HttpResponseStatus status, String why) {
         exchange.answer(status, why, new DefaultHttpHeaders());
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
@@ -8,7 +8,7 @@
 import org.quetzalseam.gateway.http.CallFailure;
 import org.quetzalseam.gateway.operator.GatewayMetrics;
 
-/** The log lines of one request, each with its id. */
+/** Writes the log lines of one request, each with its id, and updates the metrics that go with them. */
 final class RunLog {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -62,7 +62,7 @@
                 exchange.ageMillis());
     }
 
-    /** Tells why a request that may have run isn't sent again. */
+    /** Logs why a request that may have run is not sent again. */
     void attemptsEnded(String why, RetryDecision denied, String budget) {
         logger.atInfo().log(
                 "event=tries-end request=%s why=\"%s\" denied=%s age_ms=%d %s",
@@ -83,17 +83,17 @@
                 exchange.facts().id(), route.name(), service, version, outcome, status, attempts, exchange.ageMillis());
     }
 
-    /** Notes that a prompt isn't begun yet, and why. */
+    /** Logs that a prompt is queued, and why. */
     void prefillQueued(Endpoint engine, ReadingPool.Verdict verdict, String inputs) {
         step("prompt-waits", engine, "verdict=" + verdict + " " + inputs);
     }
 
-    /** Notes that a prompt isn't begun, and why. */
+    /** Logs that a prompt is refused without having begun, and why. */
     void prefillNotBegun(Endpoint engine, ReadingPool.Verdict verdict, String inputs) {
         step("prompt-not-begun", engine, "verdict=" + verdict + " " + inputs);
     }
 
-    /** Notes that an endpoint has turned the request away, which says that it has not run. */
+    /** Logs that an endpoint has refused the request, which means that it has not run there. */
     void rejected(Endpoint endpoint, int status, String budget) {
         metrics.tried(service, "REJECTED");
         step("rejected", endpoint, "status=" + status + " " + budget);
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
@@ -23,21 +23,21 @@
 import org.quetzalseam.gateway.runtime.Subscription;
 
 /**
- * One call of a plain service, whose answer is passed on when it is whole. Used on the event loop only.
+ * Runs one call of a plain service and forwards the answer when it is complete. Used on the event loop only.
  *
- * <p>A request that may have run is sent again only where it is idempotent; one that an endpoint has turned away, or that
- * never left this process, may go to another endpoint in any case.
+ * <p>A request that may have run is sent again only if it is idempotent. A request that an endpoint has refused, or that
+ * never left this process, may be sent to another endpoint in any case.
  */
 final class ServiceRun {
-    /** Longest answer that is collected, in bytes; a plain service's answers are some kilobytes long. */
+    /** Longest answer that is buffered, in bytes; a plain service's answers are some kilobytes long. */
     private static final int MAX_ANSWER_BYTES = 8 * 1024 * 1024;
-    /** Endpoints that may turn a request away before the caller is told that the service is full. */
+    /** Number of refusals by endpoints after which the caller is refused because the service is full. */
     private static final int MAX_REJECTIONS = 3;
-    /** Connections that may fail to open before the caller is told. */
+    /** Number of connections that may fail to open before the caller is refused. */
     private static final int MAX_CONNECT_FAILURES = 3;
-    /** When to come back to a service that is full: a few times its usual time to answer, in milliseconds. */
+    /** Retry-after time of a full service, in milliseconds: a few times its usual answer time. */
     private static final long FULL_RETRY_AFTER_MILLIS = 300;
-    /** Part of the time left that the first of several tries may use. */
+    /** Share of the remaining time that an attempt may use if another one may follow. */
     private static final double FIRST_ATTEMPT_SHARE = 0.5;
 
     private final RunContext context;
@@ -125,7 +125,7 @@
             return;
         }
         slow.cancel();
-        failed(endpoint, new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in this try's share of the time"));
+        failed(endpoint, new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in this attempt's share of the time"));
     }
 
     private void stopAttemptTimer() {
@@ -166,7 +166,7 @@
         }
         finish("answered", answer.status().code());
         if (!serverFault) {
-            // A failure may come sooner than the answer that it stands for.
+            // A failure is excluded because it may arrive sooner than the answer that it replaces.
             context.answerTime(route).ended(exchange.facts().estimate(), exchange.ageMillis());
         }
         exchange.answer(answer, body);
@@ -207,7 +207,7 @@
         retryOrReportUnknown(endpoint, "reply lost: " + failure.kind());
     }
 
-    /** The request may have run, and there is no answer that can be passed on. */
+    /** Handles a request that may have run, and for which there is no answer to forward: sends it again if that is allowed. */
     private void retryOrReportUnknown(Endpoint endpoint, String why) {
         RetryDecision decision = context.decideRetry(route, service, runs);
         if (decision == RetryDecision.ALLOWED) {
@@ -220,7 +220,10 @@
         context.fail(exchange, HttpResponseStatus.BAD_GATEWAY, "the endpoint gave no whole answer");
     }
 
-    /** No endpoint takes it now: a refusal if it has run nowhere. */
+    /**
+     * Ends the request because no endpoint accepts it now: with a refusal if it has run nowhere, else with an unknown
+     * outcome.
+     */
     private void giveUp(String why) {
         if (mayHaveRun) {
             finish("unknown", HttpResponseStatus.BAD_GATEWAY.code());
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/StreamPace.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/StreamPace.java
@@ -1,13 +1,13 @@
 package org.quetzalseam.gateway.route;
 
-/** When the events of one stream came, for the log. Not thread-safe. */
+/** Measures when the events of one stream arrived. Not thread-safe. */
 final class StreamPace {
     private int pieces;
     private long firstMillis = -1;
     private long lastMillis;
     private long longestPauseMillis;
 
-    /** Notes events that came when the request was so old. */
+    /** Records events that arrived at the given age of the request, in milliseconds. */
     void record(long ageMillis) {
         if (pieces == 0) {
             firstMillis = ageMillis;
@@ -22,7 +22,7 @@
         return pieces;
     }
 
-    /** Returns the request's age at its first event, or -1 before that. */
+    /** Returns the age of the request at its first event, in milliseconds; -1 before that. */
     long firstMillis() {
         return firstMillis;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/StreamRelay.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/StreamRelay.java
@@ -5,7 +5,10 @@
 import org.quetzalseam.gateway.caller.Exchange;
 import org.quetzalseam.gateway.endpoint.EndpointCall;
 
-/** Passes a stream's whole events on to its caller as they come, no faster than the caller reads. Used on the event loop only. */
+/**
+ * Forwards the complete events of a stream to its caller as they arrive, no faster than the caller reads. Used on the event
+ * loop only.
+ */
 final class StreamRelay {
     private final Exchange exchange;
     private final RunLog log;
@@ -17,24 +20,27 @@
         this.log = log;
     }
 
-    /** Returns the events that have been passed on. */
+    /** Returns the parser of the stream, which counts the events that were forwarded. */
     EventStreamParser events() {
         return events;
     }
 
-    /** Returns the last event that the caller has, from here or from before; null where there is none. */
+    /**
+     * Returns the id of the last event that the caller has received from this request or an earlier one; null if there is
+     * none.
+     */
     @Nullable
     String resumePoint() {
         String last = events.lastId();
         return last == null ? exchange.facts().resumesAfter() : last;
     }
 
-    /** Returns the pace at which they came. */
+    /** Returns the pace at which the events arrived. */
     StreamPace pace() {
         return pace;
     }
 
-    /** Takes a piece of the stream that a call brings. */
+    /** Forwards the events that a piece of the stream completes. {@code from} is the call that received the piece. */
     void forward(ByteBuf piece, @Nullable EndpointCall from) {
         boolean first = events.eventCount() == 0;
         ByteBuf ready = events.append(piece);
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/UnbookedEngine.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/UnbookedEngine.java
@@ -5,11 +5,14 @@
 import org.quetzalseam.core.fleet.Stage;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
-/** Chooses where a stream runs that says nothing of its size, so that no memory can be booked for it. Stateless. */
+/** Chooses where to run a stream of unknown size, for which no memory can be booked. Stateless. */
 final class UnbookedEngine {
     private UnbookedEngine() {}
 
-    /** Returns the engine with the least work of this entry; an endpoint without stages where there is no engine. */
+    /**
+     * Returns the decode engine with the fewest outstanding requests of this entry, or an endpoint without stages if there
+     * is no decode engine.
+     */
     static Optional<Endpoint> choose(RunContext context, String service) {
         return leastUsed(context, service, Stage.DECODE).or(() -> leastUsed(context, service, Stage.WHOLE));
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/WaitingRequests.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/WaitingRequests.java
@@ -5,24 +5,24 @@
 import java.util.function.Consumer;
 import org.quetzalseam.gateway.caller.Exchange;
 
-/** Requests that wait briefly for what their routes depend on. Used on the event loop only. */
+/** Holds requests briefly until the state that decides their route is known. Used on the event loop only. */
 final class WaitingRequests {
-    /** Longest wait, in milliseconds: several answers of the store. */
+    /** Longest wait, in milliseconds: the time of several responses of the store. */
     private static final long MAX_WAIT_MILLIS = 800;
-    /** Requests that may wait. */
+    /** Number of requests that may wait at the same time. */
     private static final int MAX_WAITING = 200;
 
     private final RunContext context;
     private final Consumer<Exchange> refuse;
     private final List<Exchange> waiting = new ArrayList<>();
 
-    /** Creates an empty line; {@code refuse} answers a request that can't wait, or can't any longer. */
+    /** Creates an empty queue; {@code refuse} answers a request that cannot wait, or cannot wait any longer. */
     WaitingRequests(RunContext context, Consumer<Exchange> refuse) {
         this.context = context;
         this.refuse = refuse;
     }
 
-    /** Lets a request wait, unless too many do or the process is leaving. */
+    /** Queues a request, or refuses it if the queue is full or the process is draining. */
     void add(Exchange exchange) {
         if (waiting.size() >= MAX_WAITING || context.draining()) {
             refuse.accept(exchange);
@@ -37,14 +37,14 @@
         });
     }
 
-    /** Takes all out. */
+    /** Removes and returns all requests. */
     List<Exchange> removeAll() {
         List<Exchange> removed = List.copyOf(waiting);
         waiting.clear();
         return removed;
     }
 
-    /** Refuses all. */
+    /** Removes and refuses all requests. */
     void refuseAll() {
         removeAll().forEach(refuse);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/package-info.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/package-info.java
@@ -1,4 +1,4 @@
-/** Where requests go: plain calls, generations, retries and refusals. */
+/** Routes requests: plain calls, generations, retries and refusals. */
 @NullMarked
 package org.quetzalseam.gateway.route;
 
--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryRestoreTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryRestoreTest.java
@@ -12,8 +12,9 @@
 import org.quetzalseam.gateway.store.MemoryStore;
 
 /**
- * The entry count when names of running entries are missing from the store. Guards against an entry that registers its name only
- * once: after a restore it counted two entries where three were running, and its rank was also the rank of another entry.
+ * The entry count when names of running entries are missing from the store. Guards against an entry that registers its name
+ * only once: after a restore it counted two entries where three were running, and its rank was also the rank of another
+ * entry.
  */
 class EntryRegistryRestoreTest {
     private static final String KIND = "quetzalseam-entries";
