--- a/gateway/src/main/java/org/quetzalseam/gateway/protocol/Forwarding.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/protocol/Forwarding.java
@@ -20,12 +20,12 @@
         @Nullable String booking,
         @Nullable String resumeAfter) {
     /** Returns the information for a request that an endpoint runs completely. */
-    public static Forwarding whole(String endpoint, long patienceMillis) {
-        return new Forwarding(endpoint, patienceMillis, false, null, null, null);
+    public static Forwarding whole(String endpoint, long remainingMillis) {
+        return new Forwarding(endpoint, remainingMillis, false, null, null, null);
     }
 
     /** Returns the information for a request that is only prefilled. */
-    public static Forwarding prefill(String endpoint, long patienceMillis) {
-        return new Forwarding(endpoint, patienceMillis, true, null, null, null);
+    public static Forwarding prefill(String endpoint, long remainingMillis) {
+        return new Forwarding(endpoint, remainingMillis, true, null, null, null);
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
@@ -52,7 +52,7 @@
         prefilled = false;
     }
 
-    /** Records a completed prefill of the prompt as wasted, if there was one since the last answer. */
+    /** Records the prefill of the prompt as wasted, if it was prefilled and has led to no complete answer. */
     void recordWastedPrefill() {
         TokenDemand demand = exchange.facts().demand();
         if (prefilled && demand != null) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -61,7 +61,7 @@
     private final int promptTokens;
     private final RunLog log;
     private final Listener listener;
-    private final Set<Endpoint> tried = new HashSet<>();
+    private final Set<Endpoint> triedEngines = new HashSet<>();
     private ReadingPool<Endpoint>.@Nullable Reading prefill;
     private @Nullable EndpointCall call;
     private @Nullable Subscription checkTimer;
@@ -93,7 +93,7 @@
      */
     void start(Endpoint decodeEngine) {
         Optional<Endpoint> chosen =
-                engines.best(promptTokens, tried, decodeEngine.member().zone());
+                engines.best(promptTokens, triedEngines, decodeEngine.member().zone());
         if (chosen.isEmpty()) {
             listener.noEngine();
             return;
@@ -113,7 +113,7 @@
      * it.
      */
     private void refuseOrPostpone(Endpoint engine, ReadingPool.Verdict verdict, ReadingPool.Due remaining) {
-        boolean untouched = tried.isEmpty() && verdict != ReadingPool.Verdict.CALLER_LEAVES_SOONER;
+        boolean untouched = triedEngines.isEmpty() && verdict != ReadingPool.Verdict.CALLER_LEAVES_SOONER;
         if (untouched) {
             listener.notBegun();
             return;
@@ -123,7 +123,7 @@
     }
 
     private void send(Endpoint engine, Endpoint decodeEngine, ReadingPool<Endpoint>.Reading newPrefill) {
-        tried.add(engine);
+        triedEngines.add(engine);
         prefill = newPrefill;
         long sentAt = context.now();
         WholeReply reply = new WholeReply(
@@ -168,7 +168,7 @@
             if (!prefillCall.active()) {
                 return;
             }
-            if (tried.size() < MAX_ENGINES && engines.isLost(checkedPrefill, engine)) {
+            if (triedEngines.size() < MAX_ENGINES && engines.isLost(checkedPrefill, engine)) {
                 prefillCall.cancel();
                 failed(
                         engine,
@@ -222,7 +222,7 @@
     }
 
     private void retryElsewhere(Endpoint decodeEngine) {
-        if (tried.size() < MAX_ENGINES && context.acquireRetry(service)) {
+        if (triedEngines.size() < MAX_ENGINES && context.acquireRetry(service)) {
             start(decodeEngine);
             return;
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -161,7 +161,7 @@
     void entries(EntryCount counted) {
         entries = counted;
         retries.values().forEach(allowance -> allowance.entries(counted.entries()));
-        bookings.values().forEach(desk -> desk.entries(counted));
+        bookings.values().forEach(manager -> manager.entries(counted));
         shareConnections();
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
@@ -38,7 +38,7 @@
     /** Retry-after time of a full service, in milliseconds: a few times its usual answer time. */
     private static final long FULL_RETRY_AFTER_MILLIS = 300;
     /** Share of the remaining time that an attempt may use if another one may follow. */
-    private static final double FIRST_ATTEMPT_SHARE = 0.5;
+    private static final double ATTEMPT_TIME_SHARE = 0.5;
 
     private final RunContext context;
     private final Exchange exchange;
@@ -110,7 +110,7 @@
                 failure -> failed(endpoint, failure));
         if (mayRepeat()) {
             attemptTimer = context.after(
-                    (long) (forwarded.remainingMillis() * FIRST_ATTEMPT_SHARE), () -> attemptTimedOut(endpoint));
+                    (long) (forwarded.remainingMillis() * ATTEMPT_TIME_SHARE), () -> attemptTimedOut(endpoint));
         }
         call = endpoint.send(head, exchange.body(), exchange.facts().id(), reply);
     }
--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryTest.java
@@ -62,7 +62,7 @@
 
     // Guards against the same fault when a stale list lacks the other entries.
     @Test
-    void anEntryThatIsAddedDoesNotCountFromAnOldAnswer() {
+    void anAddedEntryDoesNotCountFromAStaleList() {
         others(4);
         store.answerRecentListsWith(List.of());
         start();
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void theRankIsTheNamesPlaceAmongTheOthers() {
+    void theRankIsThePositionOfTheNameAmongAllNames() {
         others(3);
         store.put("quetzalseam-entries", "the-last", JsonNodeFactory.instance.objectNode());
         start();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void theNameIsRegisteredAgainWhenTheStoreHasDeclined() {
+    void registrationIsRetriedWhileTheStoreDeclines() {
         store.declining(true);
         start();
         passSeconds(12);
