--- a/gateway/src/main/java/org/quetzalseam/gateway/EntryProcess.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/EntryProcess.java
@@ -23,20 +23,20 @@
 public final class EntryProcess {
     private static final String METRICS_PATH = "/metrics";
     /** How often the loop's delay is measured, in milliseconds. */
-    private static final long LOOP_LOOK_MILLIS = 500;
+    private static final long LOOP_DELAY_INTERVAL_MILLIS = 500;
 
     private final NioEventLoopGroup group;
     private final EventLoop loop;
     private final Timers timers;
     private final Directory directory;
     private final RequestRouter router;
-    private final CallerServer callers;
+    private final CallerServer callerServer;
     private final GatewayMetrics metrics;
-    private final OperatorServer operators;
+    private final OperatorServer operatorServer;
     private final Connector connector;
-    private volatile boolean leaving;
-    private volatile EntryCount entries = EntryCount.ALONE;
-    private long loopLookedAt;
+    private volatile boolean draining;
+    private volatile EntryCount entryCount = EntryCount.ALONE;
+    private long loopMeasuredAt;
     private long loopDelayMillis;
 
     /** Creates an entry; {@link #start} opens it. */
@@ -48,8 +48,8 @@
         directory = new Directory(connector);
         metrics = new GatewayMetrics();
         router = new RequestRouter(timers, protocol, directory, settings, metrics);
-        callers = new CallerServer(loop, protocol, router::limits, router::route);
-        operators = new OperatorServer(loop, () -> router.ready() && !leaving);
+        callerServer = new CallerServer(loop, protocol, router::limits, router::route);
+        operatorServer = new OperatorServer(loop, () -> router.ready() && !draining);
     }
 
     /** Returns the timers of the event loop that everything runs on. */
@@ -81,20 +81,20 @@
      */
     public ListeningAddresses start(
             InetSocketAddress callerAddress, InetSocketAddress readyAddress, InetSocketAddress metricsAddress) {
-        operators.page(METRICS_PATH, metrics::text);
+        operatorServer.addPage(METRICS_PATH, metrics::text);
         registerGauges();
-        InetSocketAddress ready = operators.start(readyAddress);
-        InetSocketAddress metricsPage = operators.start(metricsAddress);
-        return new ListeningAddresses(callers.start(callerAddress), ready, metricsPage);
+        InetSocketAddress ready = operatorServer.start(readyAddress);
+        InetSocketAddress metricsPage = operatorServer.start(metricsAddress);
+        return new ListeningAddresses(callerServer.start(callerAddress), ready, metricsPage);
     }
 
     private void registerGauges() {
-        metrics.gauge("quetzalseam.requests.in.progress", callers::inProgress);
-        metrics.gauge("quetzalseam.caller.connections", callers::connections);
+        metrics.gauge("quetzalseam.requests.in.progress", callerServer::inProgress);
+        metrics.gauge("quetzalseam.caller.connections", callerServer::connections);
         metrics.gauge("quetzalseam.desired.state.version", router::version);
         metrics.gauge("quetzalseam.memory.used.bytes", EntryProcess::memoryUsed);
         metrics.gauge("quetzalseam.loop.delay.ms", () -> loopDelayMillis);
-        timers.every(LOOP_LOOK_MILLIS, this::measureLoopDelay);
+        timers.every(LOOP_DELAY_INTERVAL_MILLIS, this::measureLoopDelay);
     }
 
     private static long memoryUsed() {
@@ -105,16 +105,16 @@
     /** The time by which the loop's own timer is late tells how long everything else waits for it. */
     private void measureLoopDelay() {
         long now = timers.now();
-        if (loopLookedAt != 0) {
-            long late = TimeUnit.NANOSECONDS.toMillis(now - loopLookedAt) - LOOP_LOOK_MILLIS;
+        if (loopMeasuredAt != 0) {
+            long late = TimeUnit.NANOSECONDS.toMillis(now - loopMeasuredAt) - LOOP_DELAY_INTERVAL_MILLIS;
             loopDelayMillis = Math.max(late, loopDelayMillis / 2);
         }
-        loopLookedAt = now;
+        loopMeasuredAt = now;
     }
 
     /** Takes the number of entries, which share budgets and leave in turn. */
-    public void counted(EntryCount count) {
-        entries = count;
+    public void entryCountChanged(EntryCount count) {
+        entryCount = count;
         router.entries(count);
     }
 
@@ -125,8 +125,8 @@
 
     /** Leaves: tells that it isn't ready, ends what it has taken, and returns when that is done or time is up. */
     public void drain(long graceMillis) {
-        leaving = true;
-        new Departure(timers, callers, router).run(graceMillis, entries);
+        draining = true;
+        new EntryShutdown(timers, callerServer, router).run(graceMillis, entryCount);
     }
 
     /** Drops everything at once. */
--- a/gateway/src/main/java/org/quetzalseam/gateway/Departure.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/EntryShutdown.java
@@ -10,19 +10,19 @@
 import org.quetzalseam.gateway.runtime.Timers;
 
 /** The planned stop of an entry, from the signal to the moment at which the process may end. */
-final class Departure {
+final class EntryShutdown {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** How often a leaving entry looks whether it is done, in milliseconds. */
-    private static final long LOOK_MILLIS = 50;
+    private static final long DRAIN_CHECK_MILLIS = 50;
     /** Time for the last answers to be written, in milliseconds; part of what the grace period keeps for the end. */
-    private static final long LAST_WORDS_MILLIS = 100;
+    private static final long FINAL_WRITE_MILLIS = 100;
 
     private final Timers timers;
     private final CallerServer callers;
     private final RequestRouter router;
     private final CountDownLatch done = new CountDownLatch(1);
 
-    Departure(Timers timers, CallerServer callers, RequestRouter router) {
+    EntryShutdown(Timers timers, CallerServer callers, RequestRouter router) {
         this.timers = timers;
         this.callers = callers;
         this.router = router;
@@ -35,9 +35,9 @@
                 new GracePeriod(begunAt, TimeUnit.MILLISECONDS.toNanos(graceMillis), entries.rank(), entries.entries());
         timers.soon(() -> {
             logger.atInfo().log("event=leaving requests=%d", callers.inProgress());
-            callers.leave();
+            callers.startDraining();
             router.startDraining(grace);
-            look(grace, begunAt);
+            checkDrained(grace, begunAt);
         });
         try {
             if (!done.await(graceMillis, TimeUnit.MILLISECONDS)) {
@@ -48,22 +48,22 @@
         }
     }
 
-    private void look(GracePeriod grace, long begunAt) {
+    private void checkDrained(GracePeriod grace, long begunAt) {
         long now = timers.now();
         if (grace.over(now) || grace.mayEndEarly(now, callers.inProgress() + callers.arriving())) {
-            end(TimeUnit.NANOSECONDS.toMillis(now - begunAt));
+            finish(TimeUnit.NANOSECONDS.toMillis(now - begunAt));
             return;
         }
         if (grace.noticed(now)) {
             callers.closeIdle();
         }
-        timers.after(LOOK_MILLIS, () -> look(grace, begunAt));
+        timers.after(DRAIN_CHECK_MILLIS, () -> checkDrained(grace, begunAt));
     }
 
-    private void end(long ageMillis) {
+    private void finish(long ageMillis) {
         logger.atInfo().log("event=left requests_cut=%d age_ms=%d", callers.inProgress(), ageMillis);
         callers.stopListening();
         callers.endAll();
-        timers.after(LAST_WORDS_MILLIS, done::countDown);
+        timers.after(FINAL_WRITE_MILLIS, done::countDown);
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
@@ -37,15 +37,15 @@
     private static final int MAX_PIPELINED = 8;
 
     private final CallerServer server;
-    private final Deque<Exchange> waiting = new ArrayDeque<>();
+    private final Deque<Exchange> pipelined = new ArrayDeque<>();
     private final Channel channel;
     private @Nullable Exchange current;
     private @Nullable HttpRequest head;
     private @Nullable ByteBuf body;
     private boolean discarding;
-    private boolean stopped;
+    private boolean processStopping;
     private final long openedAt = System.nanoTime();
-    private long quietSince = openedAt;
+    private long idleSince = openedAt;
     private boolean receiving;
 
     CallerConnection(CallerServer server, Channel channel) {
@@ -55,37 +55,37 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        server.opened(this);
+        server.connectionOpened(this);
     }
 
     /** Notes that bytes have come: from now on a header section is due. */
     void bytesArrived() {
         if (!receiving && current == null) {
             receiving = true;
-            quietSince = System.nanoTime();
+            idleSince = System.nanoTime();
         }
     }
 
     /** Closes the connection when it has been quiet for longer than the limits allow. */
-    void checkTime(long now) {
+    void closeIfTimedOut(long now) {
         Exchange exchange = current;
         if (exchange != null) {
-            closeUnread(exchange, now);
+            closeIfAnswerUnread(exchange, now);
             return;
         }
-        if (!waiting.isEmpty()) {
+        if (!pipelined.isEmpty()) {
             return;
         }
         long limitMillis =
                 receiving ? server.limits().headerMillis() : server.limits().idleMillis();
-        if (now - quietSince > TimeUnit.MILLISECONDS.toNanos(limitMillis)) {
+        if (now - idleSince > TimeUnit.MILLISECONDS.toNanos(limitMillis)) {
             logger.atFine().log("event=caller-timed-out receiving=%s", receiving);
             channel.close();
         }
     }
 
     /** A caller who doesn't read an answer is quiet too. */
-    private void closeUnread(Exchange exchange, long now) {
+    private void closeIfAnswerUnread(Exchange exchange, long now) {
         long limit = TimeUnit.MILLISECONDS.toNanos(server.limits().idleMillis());
         if (exchange.ended() && now - exchange.endedAt() > limit) {
             channel.close();
@@ -94,8 +94,8 @@
 
     /** Returns whether nothing is asked or being asked on the connection, nor has been for the given time. */
     boolean idleFor(long nanos, long now) {
-        boolean idle = current == null && waiting.isEmpty() && !receiving && head == null;
-        return idle && now - quietSince > nanos;
+        boolean idle = current == null && pipelined.isEmpty() && !receiving && head == null;
+        return idle && now - idleSince > nanos;
     }
 
     /** Returns whether a request has begun to come and isn't whole yet. */
@@ -115,14 +115,14 @@
             return;
         }
         if (message instanceof HttpRequest request) {
-            takeHead(request);
+            receiveHead(request);
         }
         if (message instanceof HttpContent content) {
-            takeContent(content);
+            receiveContent(content);
         }
     }
 
-    private void takeHead(HttpRequest request) {
+    private void receiveHead(HttpRequest request) {
         receiving = true;
         if (discarding) {
             return;
@@ -132,7 +132,7 @@
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is longer than allowed");
             return;
         }
-        if (!server.reserveBody(length)) {
+        if (!server.mayAcceptBody(length)) {
             refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many bodies are being read");
             return;
         }
@@ -143,7 +143,7 @@
         }
     }
 
-    private void takeContent(HttpContent content) {
+    private void receiveContent(HttpContent content) {
         HttpRequest request = head;
         ByteBuf collected = body;
         if (discarding || request == null || collected == null) {
@@ -162,19 +162,19 @@
             head = null;
             body = null;
             receiving = false;
-            received(request, collected);
+            requestReceived(request, collected);
         }
     }
 
-    private void received(HttpRequest request, ByteBuf collected) {
+    private void requestReceived(HttpRequest request, ByteBuf collected) {
         Exchange exchange = new Exchange(channel, request, collected, server.facts(request), this::exchangeEnded);
-        if (stopped) {
-            exchange.drop();
+        if (processStopping) {
+            exchange.discard();
             return;
         }
         if (current != null) {
-            waiting.addLast(exchange);
-            if (waiting.size() >= MAX_PIPELINED) {
+            pipelined.addLast(exchange);
+            if (pipelined.size() >= MAX_PIPELINED) {
                 channel.config().setAutoRead(false);
             }
             return;
@@ -184,36 +184,36 @@
 
     private void begin(Exchange exchange) {
         current = exchange;
-        if (server.leaving()) {
-            exchange.closeAfter();
+        if (server.draining()) {
+            exchange.closeAfterAnswer();
         }
-        server.begin(exchange, openedAt);
+        server.beginExchange(exchange, openedAt);
     }
 
     /** Asks for the connection to be closed after the answer in progress, if its head isn't written yet. */
     void closeAfterCurrent() {
         Exchange exchange = current;
         if (exchange != null) {
-            exchange.closeAfter();
+            exchange.closeAfterAnswer();
         }
     }
 
     /** The process ends: what is being answered ends now, what waits behind it or still comes is never begun. */
-    void processStops() {
-        stopped = true;
+    void endForShutdown() {
+        processStopping = true;
         // What waits goes quietly: closing for its sake would take the connection from the answer before it.
-        dropWaiting();
+        dropPipelined();
         Exchange exchange = current;
         if (exchange == null) {
             channel.close();
         } else {
-            exchange.processStops();
+            exchange.endForShutdown();
         }
     }
 
-    private void dropWaiting() {
-        waiting.forEach(Exchange::drop);
-        waiting.clear();
+    private void dropPipelined() {
+        pipelined.forEach(Exchange::discard);
+        pipelined.clear();
     }
 
     private void exchangeEnded() {
@@ -221,8 +221,8 @@
             return;
         }
         current = null;
-        quietSince = System.nanoTime();
-        server.ended();
+        idleSince = System.nanoTime();
+        server.exchangeEnded();
         if (discarding) {
             channel.close();
             return;
@@ -235,7 +235,7 @@
         if (current != null || !channel.isActive()) {
             return;
         }
-        Exchange next = waiting.pollFirst();
+        Exchange next = pipelined.pollFirst();
         if (next == null) {
             return;
         }
@@ -265,7 +265,7 @@
         discarding = true;
         if (current != null) {
             // The answer in progress goes first; the caller learns of this fault by the connection's end.
-            current.closeAfter();
+            current.closeAfterAnswer();
             return;
         }
         DefaultFullHttpResponse answer = new DefaultFullHttpResponse(
@@ -298,7 +298,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        server.closed(this);
+        server.connectionClosed(this);
         ByteBuf unused = body;
         if (unused != null) {
             unused.release();
@@ -306,8 +306,8 @@
         }
         Exchange exchange = current;
         if (exchange != null) {
-            exchange.callerGone();
+            exchange.callerDisconnected();
         }
-        dropWaiting();
+        dropPipelined();
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/Limits.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerLimitsSupplier.java
@@ -4,7 +4,7 @@
 
 /** The limits in force for callers; read at each use, so that a change holds for open connections too. */
 @FunctionalInterface
-public interface Limits {
+public interface CallerLimitsSupplier {
     /** Returns the limits in force now. */
-    CallerLimits now();
+    CallerLimits current();
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerServer.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerServer.java
@@ -21,7 +21,7 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.core.routing.CallerLimits;
-import org.quetzalseam.gateway.http.Listener;
+import org.quetzalseam.gateway.http.ListeningSockets;
 import org.quetzalseam.gateway.protocol.Protocol;
 import org.quetzalseam.gateway.protocol.RequestFacts;
 import org.quetzalseam.gateway.runtime.Timers;
@@ -30,30 +30,30 @@
 public final class CallerServer {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** How often connections are checked for time limits: a tenth of the shortest limit seen in use. */
-    private static final long CHECK_MILLIS = 500;
+    private static final long TIME_LIMIT_CHECK_MILLIS = 500;
     /** Connections that may wait to be accepted: a burst of callers while the loop is busy for some hundred ms. */
-    private static final int BACKLOG = 1024;
+    private static final int ACCEPT_BACKLOG = 1024;
     /** Bytes queued for a slow caller above which its endpoint isn't read, and below which it is read again. */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1024, 128 * 1024);
     /** Largest piece of a body read at once, in bytes. */
-    private static final int PIECE_BYTES = 16 * 1024;
+    private static final int MAX_CHUNK_BYTES = 16 * 1024;
     /** Longest first line, in bytes: what common clients send. */
-    private static final int LINE_BYTES = 8 * 1024;
+    private static final int MAX_FIRST_LINE_BYTES = 8 * 1024;
     /** Longest declared body that is taken at once while many are being read, in bytes. */
     private static final long LARGE_BODY_BYTES = 1024 * 1024;
     /** Requests under way above which large bodies are refused, to bound the memory they take. */
     private static final int BUSY_REQUESTS = 200;
     /** Rest after which a leaving entry closes a connection, in nanoseconds: many round trips of a caller in the same region. */
-    private static final long IDLE_WHILE_LEAVING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long IDLE_WHILE_DRAINING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final EventLoop loop;
     private final Protocol protocol;
-    private final Limits limits;
+    private final CallerLimitsSupplier limits;
     private final Consumer<Exchange> router;
     private final Set<CallerConnection> connections = new HashSet<>();
     private @Nullable Channel listener;
-    private boolean leaving;
-    private long leftAt;
+    private boolean draining;
+    private long drainingSince;
     private int inProgress;
 
     /**
@@ -64,7 +64,7 @@
      * @param limits the limits in force
      * @param router takes each request that is whole
      */
-    public CallerServer(EventLoop loop, Protocol protocol, Limits limits, Consumer<Exchange> router) {
+    public CallerServer(EventLoop loop, Protocol protocol, CallerLimitsSupplier limits, Consumer<Exchange> router) {
         this.loop = loop;
         this.protocol = protocol;
         this.limits = limits;
@@ -76,7 +76,7 @@
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop, loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
@@ -84,16 +84,16 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        prepare(channel);
+                        initPipeline(channel);
                     }
                 });
-        Channel opened = Listener.open(bootstrap, address);
+        Channel opened = ListeningSockets.bind(bootstrap, address);
         listener = opened;
-        new Timers(loop).every(CHECK_MILLIS, this::checkTimes);
-        return Listener.address(opened);
+        new Timers(loop).every(TIME_LIMIT_CHECK_MILLIS, this::closeTimedOut);
+        return ListeningSockets.localAddress(opened);
     }
 
-    private void prepare(Channel channel) {
+    private void initPipeline(Channel channel) {
         CallerConnection connection = new CallerConnection(this, channel);
         channel.pipeline()
                 .addLast(new ChannelInboundHandlerAdapter() {
@@ -105,55 +105,55 @@
                         ctx.fireChannelRead(message);
                     }
                 })
-                .addLast(new HttpServerCodec(LINE_BYTES, limits().headerBytes(), PIECE_BYTES))
+                .addLast(new HttpServerCodec(MAX_FIRST_LINE_BYTES, limits().headerBytes(), MAX_CHUNK_BYTES))
                 .addLast(connection);
     }
 
-    private void checkTimes() {
+    private void closeTimedOut() {
         long now = System.nanoTime();
         for (CallerConnection connection : List.copyOf(connections)) {
-            connection.checkTime(now);
+            connection.closeIfTimedOut(now);
         }
     }
 
     CallerLimits limits() {
-        return limits.now();
+        return limits.current();
     }
 
     RequestFacts facts(HttpRequest request) {
         return protocol.facts(request.headers());
     }
 
-    boolean leaving() {
-        return leaving;
+    boolean draining() {
+        return draining;
     }
 
-    boolean reserveBody(long bytes) {
+    boolean mayAcceptBody(long bytes) {
         return bytes <= LARGE_BODY_BYTES || inProgress < BUSY_REQUESTS;
     }
 
-    void opened(CallerConnection connection) {
+    void connectionOpened(CallerConnection connection) {
         connections.add(connection);
     }
 
-    void closed(CallerConnection connection) {
+    void connectionClosed(CallerConnection connection) {
         connections.remove(connection);
     }
 
-    void begin(Exchange exchange, long connectionOpenedAt) {
+    void beginExchange(Exchange exchange, long connectionOpenedAt) {
         inProgress++;
-        if (leaving) {
+        if (draining) {
             long now = System.nanoTime();
             logger.atInfo().log(
                     "event=taken-while-leaving request=%s since_signal_ms=%d connection_ms=%d",
-                    exchange.facts().id(), millisBetween(leftAt, now), millisBetween(connectionOpenedAt, now));
+                    exchange.facts().id(), millisBetween(drainingSince, now), millisBetween(connectionOpenedAt, now));
         }
         try {
             router.accept(exchange);
         } catch (RuntimeException e) {
             logger.atSevere().withCause(e).log(
                     "event=request-failed request=%s", exchange.facts().id());
-            exchange.cut("internal error");
+            exchange.abort("internal error");
         }
     }
 
@@ -161,7 +161,7 @@
         return TimeUnit.NANOSECONDS.toMillis(later - earlier);
     }
 
-    void ended() {
+    void exchangeEnded() {
         inProgress--;
     }
 
@@ -181,12 +181,12 @@
     }
 
     /** Announces on every answer from now on that its connection closes. */
-    public void leave() {
-        if (leaving) {
+    public void startDraining() {
+        if (draining) {
             return;
         }
-        leaving = true;
-        leftAt = System.nanoTime();
+        draining = true;
+        drainingSince = System.nanoTime();
         connections.forEach(CallerConnection::closeAfterCurrent);
     }
 
@@ -197,7 +197,7 @@
     public void closeIdle() {
         long now = System.nanoTime();
         for (CallerConnection connection : List.copyOf(connections)) {
-            if (connection.idleFor(IDLE_WHILE_LEAVING_NANOS, now)) {
+            if (connection.idleFor(IDLE_WHILE_DRAINING_NANOS, now)) {
                 connection.close();
             }
         }
@@ -207,7 +207,7 @@
     public void endAll() {
         for (CallerConnection connection : List.copyOf(connections)) {
             try {
-                connection.processStops();
+                connection.endForShutdown();
             } catch (RuntimeException e) {
                 logger.atSevere().withCause(e).log("event=request-failed detail=\"at the end of the process\"");
                 connection.close();
@@ -222,7 +222,8 @@
             listener = null;
             open.close()
                     .addListener(done -> logger.atInfo().log(
-                            "event=listener-closed since_signal_ms=%d", millisBetween(leftAt, System.nanoTime())));
+                            "event=listener-closed since_signal_ms=%d",
+                            millisBetween(drainingSince, System.nanoTime())));
         }
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/Exchange.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/Exchange.java
@@ -38,7 +38,7 @@
     private final HttpRequest request;
     private final ByteBuf body;
     private final RequestFacts facts;
-    private final long arrived;
+    private final long arrivedAt;
     private final Runnable onEnd;
     private final boolean keepAlive;
     private boolean closing;
@@ -46,16 +46,16 @@
     private boolean chunked;
     private boolean ended;
     private long endedAt;
-    private @Nullable Runnable whenGone;
-    private @Nullable Runnable whenWritable;
-    private @Nullable Runnable whenStopped;
+    private @Nullable Runnable onCallerDisconnected;
+    private @Nullable Runnable onWritable;
+    private @Nullable Runnable onShutdown;
 
     Exchange(Channel channel, HttpRequest request, ByteBuf body, RequestFacts facts, Runnable onEnd) {
         this.channel = channel;
         this.request = request;
         this.body = body;
         this.facts = facts;
-        this.arrived = System.nanoTime();
+        this.arrivedAt = System.nanoTime();
         this.onEnd = onEnd;
         this.keepAlive = HttpUtil.isKeepAlive(request);
     }
@@ -76,13 +76,13 @@
     }
 
     /** Returns when the request was whole, in monotonic nanoseconds. */
-    public long arrived() {
-        return arrived;
+    public long arrivedAt() {
+        return arrivedAt;
     }
 
     /** Returns how long ago the request was whole, in milliseconds. */
     public long ageMillis() {
-        return (System.nanoTime() - arrived) / 1_000_000;
+        return (System.nanoTime() - arrivedAt) / 1_000_000;
     }
 
     /** Returns whether the answer is over, or the caller gone. */
@@ -101,18 +101,18 @@
     }
 
     /** Sets what is called once if the caller leaves before the end of the answer. */
-    public void whenGone(Runnable call) {
-        whenGone = call;
+    public void onCallerDisconnected(Runnable call) {
+        onCallerDisconnected = call;
     }
 
     /** Sets what is called whenever the caller has taken what was written. */
-    public void whenWritable(Runnable call) {
-        whenWritable = call;
+    public void onWritable(Runnable call) {
+        onWritable = call;
     }
 
     /** Sets what is called if the process ends before the answer does; it has to end the answer at once. */
-    public void whenStopped(Runnable call) {
-        whenStopped = call;
+    public void onShutdown(Runnable call) {
+        onShutdown = call;
     }
 
     /** Returns whether the caller takes what is written as fast as it comes. */
@@ -121,23 +121,23 @@
     }
 
     /** Closes the connection after this answer. */
-    void closeAfter() {
+    void closeAfterAnswer() {
         closing = true;
     }
 
     void writabilityChanged() {
-        Runnable call = whenWritable;
+        Runnable call = onWritable;
         if (call != null && channel.isWritable()) {
             call.run();
         }
     }
 
-    void callerGone() {
+    void callerDisconnected() {
         if (ended) {
             return;
         }
-        over();
-        Runnable call = whenGone;
+        markEnded();
+        Runnable call = onCallerDisconnected;
         if (call != null) {
             call.run();
         }
@@ -152,9 +152,9 @@
         }
         DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), whole);
         answer.headers().set(head.headers());
-        HopHeaders.remove(answer.headers());
+        HopByHopHeaders.remove(answer.headers());
         answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, whole.readableBytes());
-        writeWhole(answer);
+        writeComplete(answer);
     }
 
     /** Gives an answer of this process: a status with a short text. */
@@ -167,18 +167,18 @@
         answer.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
         answer.headers().add(more);
         answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
-        writeWhole(answer);
+        writeComplete(answer);
     }
 
-    private void writeWhole(DefaultFullHttpResponse answer) {
+    private void writeComplete(DefaultFullHttpResponse answer) {
         begun = true;
-        boolean close = markClosing(answer.headers());
-        over();
+        boolean close = setConnectionHeader(answer.headers());
+        markEnded();
         ChannelFuture written = channel.writeAndFlush(answer);
-        closeOrGoOn(written, close);
+        finishWhenWritten(written, close);
     }
 
-    private boolean markClosing(HttpHeaders headers) {
+    private boolean setConnectionHeader(HttpHeaders headers) {
         boolean close = closing || !keepAlive;
         if (close) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -186,7 +186,7 @@
         return close;
     }
 
-    private void closeOrGoOn(ChannelFuture written, boolean close) {
+    private void finishWhenWritten(ChannelFuture written, boolean close) {
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
@@ -202,7 +202,7 @@
         begun = true;
         HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
         answer.headers().set(head.headers());
-        HopHeaders.remove(answer.headers());
+        HopByHopHeaders.remove(answer.headers());
         answer.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
         chunked = request.protocolVersion().isKeepAliveDefault();
         if (chunked) {
@@ -210,12 +210,12 @@
         } else {
             closing = true;
         }
-        closing = markClosing(answer.headers());
+        closing = setConnectionHeader(answer.headers());
         channel.write(answer);
     }
 
     /** Gives a piece of the body and takes it over. */
-    public void piece(ByteBuf piece) {
+    public void writeBody(ByteBuf piece) {
         if (ended) {
             piece.release();
             return;
@@ -228,18 +228,18 @@
         if (ended) {
             return;
         }
-        over();
+        markEnded();
         ChannelFuture written = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-        closeOrGoOn(written, closing);
+        finishWhenWritten(written, closing);
     }
 
     /** Breaks off an answer that was begun. */
-    public void cut(String why) {
+    public void abort(String why) {
         if (ended) {
             return;
         }
         logger.atInfo().log("event=answer-cut request=%s age_ms=%d why=%s", facts.id(), ageMillis(), why);
-        over();
+        markEnded();
         if (begun && !chunked && channel.isActive()) {
             // Only the connection's end ends this body: a reset can't be taken for it.
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -249,18 +249,18 @@
     }
 
     /** Drops a request that has never been begun. */
-    void drop() {
-        over();
+    void discard() {
+        markEnded();
         body.release();
     }
 
-    private void over() {
+    private void markEnded() {
         ended = true;
         endedAt = System.nanoTime();
     }
 
     /** The process ends: the caller gets the truest answer that there is by now. */
-    void processStops() {
+    void endForShutdown() {
         if (ended) {
             logger.atWarning().log(
                     "event=cut-by-stop request=%s age_ms=%d answer_begun=true unread=true", facts.id(), ageMillis());
@@ -268,11 +268,11 @@
         }
         logger.atWarning().log(
                 "event=cut-by-stop request=%s age_ms=%d answer_begun=%s", facts.id(), ageMillis(), begun);
-        Runnable call = whenStopped;
+        Runnable call = onShutdown;
         if (call != null) {
             call.run();
         }
-        cut("the process stops");
+        abort("the process stops");
     }
 
     private void finish() {
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Directory.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Directory.java
@@ -25,8 +25,8 @@
 
     private final Connector connector;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    private final Map<String, Integer> mostConnections = new HashMap<>();
-    private boolean known;
+    private final Map<String, Integer> maxConnections = new HashMap<>();
+    private boolean loaded;
 
     /** Creates an empty directory. */
     public Directory(Connector connector) {
@@ -34,37 +34,37 @@
     }
 
     /** Returns whether the endpoints have been learnt since the start of the process. */
-    public boolean known() {
-        return known;
+    public boolean loaded() {
+        return loaded;
     }
 
     /** Takes the members as they are now. */
     public void update(Collection<Member> members) {
-        known = true;
+        loaded = true;
         Set<String> listed = new HashSet<>();
         for (Member member : members) {
             listed.add(member.id());
-            take(member);
+            apply(member);
         }
         for (String id : List.copyOf(endpoints.keySet())) {
             if (!listed.contains(id)) {
-                drop(id);
+                remove(id);
             }
         }
     }
 
-    private void take(Member member) {
+    private void apply(Member member) {
         Endpoint known = endpoints.get(member.id());
         if (known == null) {
-            endpoints.put(member.id(), added(member));
+            endpoints.put(member.id(), create(member));
         } else if (known.member().incarnation().endedBefore(member.incarnation())) {
-            startAgain(known, member, "registration");
+            replaceRestarted(known, member, "registration");
         } else if (!member.incarnation().endedBefore(known.member().incarnation())) {
-            renew(known, member);
+            updateMember(known, member);
         }
     }
 
-    private static void renew(Endpoint endpoint, Member member) {
+    private static void updateMember(Endpoint endpoint, Member member) {
         if (!endpoint.member().equals(member)) {
             logger.atInfo().log(
                     "event=endpoint-changed endpoint=%s service=%s leaving=%s stage=%s",
@@ -74,14 +74,14 @@
     }
 
     /** Takes an endpoint's own word that it has started again since the life that is known here. */
-    public void startedAgain(Endpoint endpoint, long startMillis) {
+    public void recordRestart(Endpoint endpoint, long startMillis) {
         Member member = endpoint.member();
         if (endpoints.get(member.id()) == endpoint && startMillis > member.startMillis()) {
-            startAgain(endpoint, member.startedAgain(startMillis), "report");
+            replaceRestarted(endpoint, member.startedAgain(startMillis), "report");
         }
     }
 
-    private void startAgain(Endpoint before, Member member, String source) {
+    private void replaceRestarted(Endpoint before, Member member, String source) {
         logger.atInfo().log(
                 "event=endpoint-started-again endpoint=%s service=%s start_ms=%d before_ms=%d source=%s outstanding=%d",
                 member.id(),
@@ -90,26 +90,26 @@
                 before.member().startMillis(),
                 source,
                 before.outstanding());
-        endpoints.put(member.id(), added(member));
-        before.end();
+        endpoints.put(member.id(), create(member));
+        before.endIncarnation();
     }
 
-    private Endpoint added(Member member) {
+    private Endpoint create(Member member) {
         logger.atInfo().log(
                 "event=endpoint-added endpoint=%s service=%s address=%s zone=%s stage=%s leaving=%s",
                 member.id(), member.service(), member.address(), member.zone(), member.stage(), member.leaving());
         Endpoint endpoint = new Endpoint(connector, member);
-        endpoint.mostConnections(mostConnections.getOrDefault(member.service(), Integer.MAX_VALUE));
+        endpoint.maxConnections(maxConnections.getOrDefault(member.service(), Integer.MAX_VALUE));
         return endpoint;
     }
 
     /** Sets how many connections this entry may have open to each endpoint of a service. */
-    public void mostConnections(String service, int most) {
-        mostConnections.put(service, most);
-        all(service).forEach(endpoint -> endpoint.mostConnections(most));
+    public void maxConnections(String service, int most) {
+        maxConnections.put(service, most);
+        all(service).forEach(endpoint -> endpoint.maxConnections(most));
     }
 
-    private void drop(String id) {
+    private void remove(String id) {
         Endpoint gone = endpoints.remove(id);
         if (gone != null) {
             logger.atInfo().log(
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
@@ -39,9 +39,9 @@
 public final class Endpoint {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** How much sooner than the endpoint a kept connection is given up, so that a request doesn't cross its closing. */
-    private static final long CLOSING_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long IDLE_TIMEOUT_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
     /** How long an idle connection is used when the endpoint doesn't say how long it keeps it. */
-    private static final long UNSTATED_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000);
+    private static final long DEFAULT_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000);
     /** Control calls that wait for a connection; past that an engine is treated as unreachable. */
     private static final int MAX_CONTROL_CONNECTIONS = 8;
 
@@ -49,29 +49,29 @@
      * How long replies of an ended life that were on their way are still taken, in milliseconds: many round trips inside a
      * region, and a small part of any time limit.
      */
-    private static final long LAST_REPLIES_MILLIS = 300;
+    private static final long FINAL_REPLIES_MILLIS = 300;
 
     /**
      * How long an endpoint is left out after its address was answered by another, or by it in another stage, in milliseconds:
      * about what the store takes to list a start or a change of stage.
      */
-    private static final long MISDIRECTED_MILLIS = 2_000;
+    private static final long MISDIRECTED_EXCLUSION_MILLIS = 2_000;
 
     private final Connector connector;
     private final Timers timers;
     private final InetSocketAddress address;
     private final EndpointHealth health = new EndpointHealth();
-    private final TurnAways work = new TurnAways(0);
-    private final TurnAways caches = new TurnAways(1);
-    private final Deque<HttpConnection> idle = new ArrayDeque<>();
-    private final Deque<HttpConnection> idleControl = new ArrayDeque<>();
+    private final TurnAways workRejections = new TurnAways(0);
+    private final TurnAways cacheRejections = new TurnAways(1);
+    private final Deque<HttpConnection> idleConnections = new ArrayDeque<>();
+    private final Deque<HttpConnection> idleControlConnections = new ArrayDeque<>();
     private final IdleLimit idleLimit = new IdleLimit();
-    private final Endings endings = new Endings();
-    private final Set<EndpointCall> underWay = new HashSet<>();
+    private final PeerDisconnects peerDisconnects = new PeerDisconnects();
+    private final Set<EndpointCall> callsInFlight = new HashSet<>();
     private Member member;
-    private int mostConnections = Integer.MAX_VALUE;
-    private int open;
-    private int openControl;
+    private int maxConnections = Integer.MAX_VALUE;
+    private int openConnections;
+    private int openControlConnections;
     private int outstanding;
     private boolean ended;
     private boolean misdirected;
@@ -91,7 +91,7 @@
 
     void member(Member renewed) {
         if (renewed.stage() != member.stage()) {
-            work.taken();
+            workRejections.taken();
         }
         misdirected = misdirected && renewed.equals(member);
         member = renewed;
@@ -107,10 +107,11 @@
      * or it is in another stage. All that it is sent would come back.
      */
     boolean misdirected() {
-        return misdirected && timers.now() - misdirectedAt < TimeUnit.MILLISECONDS.toNanos(MISDIRECTED_MILLIS);
+        return misdirected
+                && timers.now() - misdirectedAt < TimeUnit.MILLISECONDS.toNanos(MISDIRECTED_EXCLUSION_MILLIS);
     }
 
-    private void answered(HttpResponse head) {
+    private void noteMisdirected(HttpResponse head) {
         if (head.status().equals(HttpResponseStatus.MISDIRECTED_REQUEST)) {
             misdirected = true;
             misdirectedAt = timers.now();
@@ -123,18 +124,18 @@
     }
 
     /** Returns how it has lately turned work away that it was sent. */
-    public TurnAways work() {
-        return work;
+    public TurnAways workRejections() {
+        return workRejections;
     }
 
     /** Returns how generations have lately been turned away elsewhere that were to go on from a KV cache of its. */
-    public TurnAways caches() {
-        return caches;
+    public TurnAways cacheRejections() {
+        return cacheRejections;
     }
 
     /** Returns whether other engines are to be used before it. */
-    public boolean leftOut(long now) {
-        return work.leftOut(now) || caches.leftOut(now);
+    public boolean excluded(long now) {
+        return workRejections.leftOut(now) || cacheRejections.leftOut(now);
     }
 
     /** Returns how many requests of this entry it has. */
@@ -143,13 +144,13 @@
     }
 
     /** Sets how many connections this entry may have open. */
-    void mostConnections(int most) {
-        mostConnections = most;
+    void maxConnections(int most) {
+        maxConnections = most;
     }
 
     /** Returns whether one more request can be sent without a connection too many. */
-    public boolean reachable() {
-        return !idle.isEmpty() || open + openControl < mostConnections;
+    public boolean hasFreeConnection() {
+        return !idleConnections.isEmpty() || openConnections + openControlConnections < maxConnections;
     }
 
     /**
@@ -163,32 +164,32 @@
     public EndpointCall send(HttpRequest request, ByteBuf body, String id, ReplyListener replies) {
         request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         outstanding++;
-        EndpointCall call =
-                new EndpointCall(request, body, id.isEmpty() ? null : id, replies, this::answered, this::runEnded);
-        underWay.add(call);
+        EndpointCall call = new EndpointCall(
+                request, body, id.isEmpty() ? null : id, replies, this::noteMisdirected, this::requestEnded);
+        callsInFlight.add(call);
         if (ended) {
-            timers.soon(() -> refuseEnded(call));
+            timers.soon(() -> failRestarted(call));
             return call;
         }
-        HttpConnection kept = usable(idle);
+        HttpConnection kept = pollUsable(idleConnections);
         if (kept != null) {
             call.begin(kept);
             return call;
         }
-        open++;
-        connector.connect(address, this::idle, this::closed, new Connector.Opened() {
+        openConnections++;
+        connector.connect(address, this::connectionIdle, this::connectionClosed, new Connector.ConnectListener() {
             @Override
             public void connected(HttpConnection connection) {
                 if (ended || !call.begin(connection)) {
-                    idle(connection);
+                    connectionIdle(connection);
                 }
             }
 
             @Override
-            public void refused(CallFailure failure) {
-                open--;
-                endings.note(System.nanoTime());
-                call.refused(failure);
+            public void failed(CallFailure failure) {
+                openConnections--;
+                peerDisconnects.record(System.nanoTime());
+                call.failUnsent(failure);
             }
         });
         return call;
@@ -201,8 +202,8 @@
      * @param limitMillis how long the reply may take; a call without one would hold its connection for good
      * @param replies takes the reply
      */
-    public EndpointCall control(FullHttpRequest request, long limitMillis, ReplyListener replies) {
-        EndpointCall call = beginControl(request, replies);
+    public EndpointCall sendControl(FullHttpRequest request, long limitMillis, ReplyListener replies) {
+        EndpointCall call = startControl(request, replies);
         timers.after(limitMillis, call::expire);
         return call;
     }
@@ -217,15 +218,15 @@
      * @param replies takes the reply
      * @return whether the call was sent; otherwise the listener hears nothing
      */
-    public boolean controlAfter(
+    public boolean sendControlAfter(
             EndpointCall earlier, FullHttpRequest request, long limitMillis, ReplyListener replies) {
         HttpConnection proved = earlier.connection();
-        if (ended || proved == null || !idleControl.remove(proved)) {
+        if (ended || proved == null || !idleControlConnections.remove(proved)) {
             request.release();
             return false;
         }
-        idleControl.addFirst(proved);
-        if (usable(idleControl) != proved) {
+        idleControlConnections.addFirst(proved);
+        if (pollUsable(idleControlConnections) != proved) {
             request.release();
             return false;
         }
@@ -241,77 +242,79 @@
         // The connection writes head and body apart; a full request as its head would end the message twice.
         HttpRequest head =
                 new DefaultHttpRequest(request.protocolVersion(), request.method(), request.uri(), request.headers());
-        EndpointCall call = new EndpointCall(head, request.content(), null, replies, this::answered, underWay::remove);
-        underWay.add(call);
+        EndpointCall call =
+                new EndpointCall(head, request.content(), null, replies, this::noteMisdirected, callsInFlight::remove);
+        callsInFlight.add(call);
         return call;
     }
 
-    private EndpointCall beginControl(FullHttpRequest request, ReplyListener replies) {
+    private EndpointCall startControl(FullHttpRequest request, ReplyListener replies) {
         EndpointCall call = controlCall(request, replies);
         if (ended) {
-            refuseEnded(call);
+            failRestarted(call);
             return call;
         }
-        HttpConnection kept = usable(idleControl);
+        HttpConnection kept = pollUsable(idleControlConnections);
         if (kept != null) {
             call.begin(kept);
             return call;
         }
-        if (openControl >= MAX_CONTROL_CONNECTIONS) {
-            call.refused(new CallFailure(CallFailure.Kind.NOT_CONNECTED, "all control connections are in use"));
+        if (openControlConnections >= MAX_CONTROL_CONNECTIONS) {
+            call.failUnsent(new CallFailure(CallFailure.Kind.NOT_CONNECTED, "all control connections are in use"));
             return call;
         }
-        openControl++;
-        connector.connect(address, this::idleControl, this::controlClosed, new Connector.Opened() {
-            @Override
-            public void connected(HttpConnection connection) {
-                if (ended || !call.begin(connection)) {
-                    idleControl(connection);
-                }
-            }
-
-            @Override
-            public void refused(CallFailure failure) {
-                openControl--;
-                endings.note(System.nanoTime());
-                call.refused(failure);
-            }
-        });
+        openControlConnections++;
+        connector.connect(
+                address, this::controlConnectionIdle, this::controlConnectionClosed, new Connector.ConnectListener() {
+                    @Override
+                    public void connected(HttpConnection connection) {
+                        if (ended || !call.begin(connection)) {
+                            controlConnectionIdle(connection);
+                        }
+                    }
+
+                    @Override
+                    public void failed(CallFailure failure) {
+                        openControlConnections--;
+                        peerDisconnects.record(System.nanoTime());
+                        call.failUnsent(failure);
+                    }
+                });
         return call;
     }
 
-    private void closed(HttpConnection connection) {
-        open--;
-        ended(connection, idle);
+    private void connectionClosed(HttpConnection connection) {
+        openConnections--;
+        ended(connection, idleConnections);
     }
 
-    private void controlClosed(HttpConnection connection) {
-        openControl--;
-        ended(connection, idleControl);
+    private void controlConnectionClosed(HttpConnection connection) {
+        openControlConnections--;
+        ended(connection, idleControlConnections);
     }
 
     private void ended(HttpConnection connection, Deque<HttpConnection> kept) {
         kept.remove(connection);
-        if (connection.endedByPeer()) {
-            endings.note(System.nanoTime());
+        if (connection.closedByPeer()) {
+            peerDisconnects.record(System.nanoTime());
         }
-        if (connection.lostAfterRest()) {
-            idleLimit.lost(connection.restedNanos(), System.nanoTime());
+        if (connection.lostAfterIdle()) {
+            idleLimit.lost(connection.idleNanosBeforeRequest(), System.nanoTime());
             logger.atInfo().log(
                     "event=connection-forgotten endpoint=%s rested_ms=%d",
-                    member.id(), TimeUnit.NANOSECONDS.toMillis(connection.restedNanos()));
+                    member.id(), TimeUnit.NANOSECONDS.toMillis(connection.idleNanosBeforeRequest()));
         }
     }
 
-    private void idle(HttpConnection connection) {
-        keep(connection, idle);
+    private void connectionIdle(HttpConnection connection) {
+        keepIdle(connection, idleConnections);
     }
 
-    private void idleControl(HttpConnection connection) {
-        keep(connection, idleControl);
+    private void controlConnectionIdle(HttpConnection connection) {
+        keepIdle(connection, idleControlConnections);
     }
 
-    private void keep(HttpConnection connection, Deque<HttpConnection> kept) {
+    private void keepIdle(HttpConnection connection, Deque<HttpConnection> kept) {
         if (ended) {
             connection.abort();
         } else {
@@ -319,7 +322,7 @@
         }
     }
 
-    private @Nullable HttpConnection usable(Deque<HttpConnection> connections) {
+    private @Nullable HttpConnection pollUsable(Deque<HttpConnection> connections) {
         long now = System.nanoTime();
         long longest = idleLimit.atTime(now);
         while (true) {
@@ -328,28 +331,28 @@
                 return null;
             }
             long rest = now - connection.idleSince();
-            if (connection.open() && rest < Math.min(longest, statedNanos(connection))) {
+            if (connection.open() && rest < Math.min(longest, maxIdleNanos(connection))) {
                 return connection;
             }
             connection.abort();
         }
     }
 
-    private static long statedNanos(HttpConnection connection) {
-        long stated = connection.idleLimitNanos();
+    private static long maxIdleNanos(HttpConnection connection) {
+        long stated = connection.peerIdleTimeoutNanos();
         if (stated == Long.MAX_VALUE) {
-            return UNSTATED_IDLE_NANOS;
+            return DEFAULT_IDLE_NANOS;
         }
-        return Math.max(stated - CLOSING_MARGIN_NANOS, stated / 2);
+        return Math.max(stated - IDLE_TIMEOUT_MARGIN_NANOS, stated / 2);
     }
 
-    private void runEnded(EndpointCall call) {
+    private void requestEnded(EndpointCall call) {
         outstanding--;
-        underWay.remove(call);
+        callsInFlight.remove(call);
     }
 
-    private static void refuseEnded(EndpointCall call) {
-        call.refused(new CallFailure(CallFailure.Kind.NOT_CONNECTED, "the endpoint has started again"));
+    private static void failRestarted(EndpointCall call) {
+        call.failUnsent(new CallFailure(CallFailure.Kind.NOT_CONNECTED, "the endpoint has started again"));
     }
 
     /**
@@ -357,35 +360,35 @@
      * is told so at once. Callers hear of either after this call has returned. What is under way on a connection that was
      * opened after the life's end had shown is with the next life, and goes on.
      */
-    void end() {
+    void endIncarnation() {
         ended = true;
         close();
         timers.soon(() ->
-                List.copyOf(underWay).stream().filter(call -> !call.sent()).forEach(Endpoint::refuseEnded));
-        timers.after(LAST_REPLIES_MILLIS, this::loseUnanswered);
+                List.copyOf(callsInFlight).stream().filter(call -> !call.sent()).forEach(Endpoint::failRestarted));
+        timers.after(FINAL_REPLIES_MILLIS, this::failUnanswered);
     }
 
-    private void loseUnanswered() {
+    private void failUnanswered() {
         long now = System.nanoTime();
-        List<EndpointCall> lost = underWay.stream()
-                .filter(call -> !endings.before(call.connectedAt(), now))
+        List<EndpointCall> lost = callsInFlight.stream()
+                .filter(call -> !peerDisconnects.precede(call.connectedAt(), now))
                 .toList();
         logger.atInfo().log(
                 "event=endpoint-life-over endpoint=%s start_ms=%d lost=%d going_on=%d",
-                member.id(), member.startMillis(), lost.size(), underWay.size() - lost.size());
-        lost.forEach(EndpointCall::lose);
+                member.id(), member.startMillis(), lost.size(), callsInFlight.size() - lost.size());
+        lost.forEach(EndpointCall::failRestarted);
     }
 
     /** Closes idle connections; what is under way goes on. */
     void close() {
-        List.copyOf(idle).forEach(HttpConnection::abort);
-        List.copyOf(idleControl).forEach(HttpConnection::abort);
-        idle.clear();
-        idleControl.clear();
+        List.copyOf(idleConnections).forEach(HttpConnection::abort);
+        List.copyOf(idleControlConnections).forEach(HttpConnection::abort);
+        idleConnections.clear();
+        idleControlConnections.clear();
     }
 
     /** Returns an empty body. */
-    public static ByteBuf noBody() {
+    public static ByteBuf emptyBody() {
         return Unpooled.EMPTY_BUFFER;
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/EndpointCall.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/EndpointCall.java
@@ -45,7 +45,7 @@
         return true;
     }
 
-    void refused(CallFailure failure) {
+    void failUnsent(CallFailure failure) {
         if (!ended) {
             body.release();
             failed(failure);
@@ -90,15 +90,15 @@
 
     /** Gives the call up because its time is over; unlike {@link #cancel}, this is told to who waits for the reply. */
     void expire() {
-        giveUp(new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in time"));
+        cancelAndFail(new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in time"));
     }
 
     /** Gives the call up because the life of its endpoint that it was sent to is over: it may have run. */
-    void lose() {
-        giveUp(new CallFailure(CallFailure.Kind.CONNECTION_LOST, "the endpoint has started again"));
+    void failRestarted() {
+        cancelAndFail(new CallFailure(CallFailure.Kind.CONNECTION_LOST, "the endpoint has started again"));
     }
 
-    private void giveUp(CallFailure failure) {
+    private void cancelAndFail(CallFailure failure) {
         if (!ended) {
             cancel();
             replies.failed(failure);
@@ -106,10 +106,10 @@
     }
 
     /** Stops or goes on reading the reply. */
-    public void reading(boolean wanted) {
+    public void setAutoRead(boolean wanted) {
         HttpConnection used = connection;
         if (used != null && !ended) {
-            used.reading(wanted);
+            used.setAutoRead(wanted);
         }
     }
 
@@ -136,7 +136,7 @@
         }
         HttpConnection used = connection;
         if (used != null) {
-            used.reading(true);
+            used.setAutoRead(true);
         }
         end();
         replies.completed();
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endings.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/PeerDisconnects.java
@@ -7,17 +7,17 @@
  * connected later may be with its next life, which takes work at the same address before its start is listed. Used on one
  * thread. Times are monotonic nanoseconds.
  */
-final class Endings {
+final class PeerDisconnects {
     /** How long the start of a process and its listing may take; an ending longer ago isn't that of the life before. */
-    private static final long LISTED_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long MAX_LISTING_DELAY_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private boolean known;
     private long firstAt;
     private long lastAt;
 
     /** Takes note that the endpoint's side has ended or refused a connection. Those that follow closely count as one. */
-    void note(long now) {
-        if (!known || now - lastAt > LISTED_NANOS) {
+    void record(long now) {
+        if (!known || now - lastAt > MAX_LISTING_DELAY_NANOS) {
             firstAt = now;
         }
         known = true;
@@ -25,7 +25,7 @@
     }
 
     /** Returns whether a connection was opened after an ending that may be that of the life before {@code now}'s. */
-    boolean before(long openedAt, long now) {
-        return known && now - lastAt <= LISTED_NANOS && openedAt - firstAt > 0;
+    boolean precede(long openedAt, long now) {
+        return known && now - lastAt <= MAX_LISTING_DELAY_NANOS && openedAt - firstAt > 0;
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/Connector.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/Connector.java
@@ -15,16 +15,16 @@
 /** Opens HTTP connections on one event loop. */
 public final class Connector {
     /** How long a connection may take to open: some hundred round trips inside a region, and far below any objective. */
-    private static final int CONNECT_MILLIS = 400;
+    private static final int CONNECT_TIMEOUT_MILLIS = 400;
     /** Longest first line and longest header section of a reply, in bytes. */
     private static final int MAX_HEAD_BYTES = 64 * 1024;
     /** Largest piece of a body handed on at once, in bytes. */
-    private static final int PIECE_BYTES = 16 * 1024;
+    private static final int MAX_CHUNK_BYTES = 16 * 1024;
 
-    private static final HttpDecoderConfig DECODING = new HttpDecoderConfig()
+    private static final HttpDecoderConfig DECODER_CONFIG = new HttpDecoderConfig()
             .setMaxInitialLineLength(MAX_HEAD_BYTES)
             .setMaxHeaderSize(MAX_HEAD_BYTES)
-            .setMaxChunkSize(PIECE_BYTES);
+            .setMaxChunkSize(MAX_CHUNK_BYTES);
 
     private final EventLoop loop;
     private final String idHeader;
@@ -41,12 +41,12 @@
     }
 
     /** What becomes of an attempt to connect. */
-    public interface Opened {
+    public interface ConnectListener {
         /** The connection is open. */
         void connected(HttpConnection connection);
 
         /** No connection could be opened. */
-        void refused(CallFailure failure);
+        void failed(CallFailure failure);
     }
 
     /**
@@ -61,19 +61,19 @@
             InetSocketAddress address,
             Consumer<HttpConnection> onIdle,
             Consumer<HttpConnection> onClosed,
-            Opened opened) {
+            ConnectListener opened) {
         HttpConnection connection = new HttpConnection(idHeader, onIdle, onClosed);
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.SO_KEEPALIVE, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(DECODING, false, false))
+                                .addLast(new HttpClientCodec(DECODER_CONFIG, false, false))
                                 .addLast(connection);
                     }
                 });
@@ -82,7 +82,7 @@
             if (done.isSuccess()) {
                 opened.connected(connection);
             } else {
-                opened.refused(new CallFailure(CallFailure.Kind.NOT_CONNECTED, String.valueOf(done.cause())));
+                opened.failed(new CallFailure(CallFailure.Kind.NOT_CONNECTED, String.valueOf(done.cause())));
             }
         });
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/HttpConnection.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/HttpConnection.java
@@ -42,14 +42,14 @@
     private @Nullable HttpResponse head;
     private boolean skipping;
     private boolean reusable;
-    private boolean finished;
+    private boolean awaitingRelease;
     private boolean closing;
-    private boolean endedByPeer;
+    private boolean closedByPeer;
     private long openedAt;
     private long idleSince;
-    private long idleLimitNanos = Long.MAX_VALUE;
-    private long restedNanos;
-    private boolean lostAfterRest;
+    private long peerIdleTimeoutNanos = Long.MAX_VALUE;
+    private long idleNanosBeforeRequest;
+    private boolean lostAfterIdle;
 
     /**
      * Creates a handler for a new channel.
@@ -93,22 +93,22 @@
         requestId = id;
         head = null;
         skipping = false;
-        finished = false;
+        awaitingRelease = false;
         reusable = true;
-        restedNanos = idleSince == 0 ? 0 : System.nanoTime() - idleSince;
+        idleNanosBeforeRequest = idleSince == 0 ? 0 : System.nanoTime() - idleSince;
         Channel open = channel();
         open.write(request);
         written = open.writeAndFlush(new DefaultLastHttpContent(body));
     }
 
     /** Returns whether it ended before any answer to a request that came after a rest: its other side had forgotten it. */
-    public boolean lostAfterRest() {
-        return lostAfterRest;
+    public boolean lostAfterIdle() {
+        return lostAfterIdle;
     }
 
     /** Returns whether it was the other side that ended it. */
-    public boolean endedByPeer() {
-        return endedByPeer;
+    public boolean closedByPeer() {
+        return closedByPeer;
     }
 
     /** Returns when it was opened, in monotonic nanoseconds. */
@@ -117,8 +117,8 @@
     }
 
     /** Returns how long it had rested before the newest request, in nanoseconds. */
-    public long restedNanos() {
-        return restedNanos;
+    public long idleNanosBeforeRequest() {
+        return idleNanosBeforeRequest;
     }
 
     /** Returns when the last exchange ended, in monotonic nanoseconds. */
@@ -127,8 +127,8 @@
     }
 
     /** Returns how long the other side keeps the connection when it is idle, as far as it has said, in nanoseconds. */
-    public long idleLimitNanos() {
-        return idleLimitNanos;
+    public long peerIdleTimeoutNanos() {
+        return peerIdleTimeoutNanos;
     }
 
     /** Returns whether the connection is open. */
@@ -137,7 +137,7 @@
     }
 
     /** Stops or goes on reading, so that a slow reader of the reply slows its sender. */
-    public void reading(boolean wanted) {
+    public void setAutoRead(boolean wanted) {
         channel().config().setAutoRead(wanted);
     }
 
@@ -167,14 +167,14 @@
             return;
         }
         if (message instanceof HttpResponse response) {
-            takeHead(response);
+            receiveHead(response);
         }
         if (message instanceof HttpContent content) {
-            takeContent(content);
+            receiveContent(content);
         }
     }
 
-    private void takeHead(HttpResponse response) {
+    private void receiveHead(HttpResponse response) {
         if (listener == null) {
             logger.atInfo().log(
                     "event=unasked-reply peer=%s status=%d",
@@ -183,7 +183,7 @@
             return;
         }
         boolean informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        if (informational || isForAnother(response)) {
+        if (informational || isForAnotherRequest(response)) {
             skipping = true;
             return;
         }
@@ -193,11 +193,11 @@
         }
         head = response;
         reusable = HttpUtil.isKeepAlive(response) && isFramed(response);
-        noteIdleLimit(response);
+        readIdleTimeout(response);
         listener.head(response);
     }
 
-    private boolean isForAnother(HttpResponse response) {
+    private boolean isForAnotherRequest(HttpResponse response) {
         String expected = requestId;
         if (expected == null) {
             return false;
@@ -216,7 +216,7 @@
         return HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
     }
 
-    private void noteIdleLimit(HttpResponse response) {
+    private void readIdleTimeout(HttpResponse response) {
         String keepAlive = response.headers().get("Keep-Alive");
         int at = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
         if (keepAlive == null || at < 0) {
@@ -228,10 +228,10 @@
             seconds = seconds * 10 + (keepAlive.charAt(end) - '0');
             end++;
         }
-        idleLimitNanos = seconds * 1_000_000_000L;
+        peerIdleTimeoutNanos = seconds * 1_000_000_000L;
     }
 
-    private void takeContent(HttpContent content) {
+    private void receiveContent(HttpContent content) {
         ReplyListener current = listener;
         if (skipping || current == null || head == null) {
             content.release();
@@ -250,7 +250,7 @@
 
     private void complete(ReplyListener current) {
         listener = null;
-        finished = true;
+        awaitingRelease = true;
         idleSince = System.nanoTime();
         if (!reusable) {
             close();
@@ -261,8 +261,8 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         // Only now: what came in the same read behind the reply has shown up as bytes that nobody asked for.
-        if (finished && listener == null && reusable) {
-            finished = false;
+        if (awaitingRelease && listener == null && reusable) {
+            awaitingRelease = false;
             releaseWhenWritten();
         }
     }
@@ -285,23 +285,23 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        endedByPeer |= !closing && cause instanceof IOException;
+        closedByPeer |= !closing && cause instanceof IOException;
         fail(Kind.CONNECTION_LOST, String.valueOf(cause.getMessage()));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        endedByPeer |= !closing;
+        closedByPeer |= !closing;
         fail(Kind.CONNECTION_LOST, "closed by the peer");
         onClosed.accept(this);
     }
 
     private void fail(Kind kind, String detail) {
         reusable = false;
-        finished = false;
+        awaitingRelease = false;
         ReplyListener current = listener;
         listener = null;
-        lostAfterRest |= current != null && head == null && restedNanos > 0 && kind == Kind.CONNECTION_LOST;
+        lostAfterIdle |= current != null && head == null && idleNanosBeforeRequest > 0 && kind == Kind.CONNECTION_LOST;
         close();
         if (current != null) {
             current.failed(new CallFailure(kind, detail));
--- a/gateway/src/main/java/org/quetzalseam/gateway/http/WholeReply.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/ReplyCollector.java
@@ -9,9 +9,9 @@
 import org.jspecify.annotations.Nullable;
 
 /** Collects a reply that is small, and hands it on when it is whole. */
-public final class WholeReply implements ReplyListener {
+public final class ReplyCollector implements ReplyListener {
     private final int maxBytes;
-    private final BiConsumer<HttpResponse, ByteBuf> onWhole;
+    private final BiConsumer<HttpResponse, ByteBuf> onComplete;
     private final Consumer<CallFailure> onFailure;
     private final ByteBuf collected = Unpooled.buffer();
     private @Nullable HttpResponse head;
@@ -21,12 +21,12 @@
      * Creates a collector.
      *
      * @param maxBytes the longest body taken
-     * @param onWhole takes head and body; it owns the body
+     * @param onComplete takes head and body; it owns the body
      * @param onFailure takes the reason why there is no whole reply
      */
-    public WholeReply(int maxBytes, BiConsumer<HttpResponse, ByteBuf> onWhole, Consumer<CallFailure> onFailure) {
+    public ReplyCollector(int maxBytes, BiConsumer<HttpResponse, ByteBuf> onWhole, Consumer<CallFailure> onFailure) {
         this.maxBytes = maxBytes;
-        this.onWhole = onWhole;
+        this.onComplete = onWhole;
         this.onFailure = onFailure;
     }
 
@@ -58,7 +58,7 @@
             return;
         }
         ended = true;
-        onWhole.accept(whole, collected);
+        onComplete.accept(whole, collected);
     }
 
     @Override
--- a/gateway/src/main/java/org/quetzalseam/gateway/log/AsyncLogHandler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/log/AsyncLogHandler.java
@@ -17,20 +17,20 @@
  */
 public final class AsyncLogHandler extends Handler {
     /** Lines that may wait: about ten seconds of a busy entry. */
-    private static final int MAX_LINES = 4_096;
+    private static final int MAX_QUEUED_LINES = 4_096;
     /** How long lines are gathered before they are written together, in milliseconds. */
-    private static final long GATHER_MILLIS = 100;
+    private static final long BATCH_MILLIS = 100;
 
     private final OutputStream out;
     private final Deque<LogRecord> queue = new ArrayDeque<>();
     private final Thread writer;
-    private long leftOut;
+    private long droppedLines;
     private boolean closing;
 
     /** Creates a handler that writes to the stream. */
     public AsyncLogHandler(OutputStream out) {
         this.out = out;
-        this.writer = new Thread(this::write, "log");
+        this.writer = new Thread(this::writeBatches, "log");
         writer.setDaemon(true);
         writer.start();
     }
@@ -38,9 +38,9 @@
     @Override
     public synchronized void publish(LogRecord line) {
         boolean urgent = line.getLevel().intValue() >= Level.WARNING.intValue();
-        int room = urgent ? MAX_LINES : MAX_LINES / 2;
+        int room = urgent ? MAX_QUEUED_LINES : MAX_QUEUED_LINES / 2;
         if (queue.size() >= room) {
-            leftOut++;
+            droppedLines++;
             return;
         }
         queue.addLast(line);
@@ -49,30 +49,30 @@
         }
     }
 
-    private void write() {
+    private void writeBatches() {
         StringBuilder text = new StringBuilder();
         try {
             while (true) {
                 text.setLength(0);
-                if (!gather(text)) {
+                if (!awaitBatch(text)) {
                     return;
                 }
                 out.write(text.toString().getBytes(StandardCharsets.UTF_8));
                 out.flush();
-                Thread.sleep(GATHER_MILLIS);
+                Thread.sleep(BATCH_MILLIS);
             }
         } catch (IOException | InterruptedException expected) {
             // Nobody reads the log any more, or the process ends: there is nowhere left to report to.
         }
     }
 
-    private synchronized boolean gather(StringBuilder text) throws InterruptedException {
+    private synchronized boolean awaitBatch(StringBuilder text) throws InterruptedException {
         while (queue.isEmpty() && !closing) {
             wait();
         }
-        if (leftOut > 0) {
-            text.append("event=log-lines-left-out count=").append(leftOut).append('\n');
-            leftOut = 0;
+        if (droppedLines > 0) {
+            text.append("event=log-lines-left-out count=").append(droppedLines).append('\n');
+            droppedLines = 0;
         }
         for (LogRecord line = queue.pollFirst(); line != null; line = queue.pollFirst()) {
             LogLine.append(text, line);
@@ -93,7 +93,7 @@
             notifyAll();
         }
         try {
-            writer.join(2 * GATHER_MILLIS);
+            writer.join(2 * BATCH_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/log/LogSetup.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/log/LogSetup.java
@@ -8,7 +8,7 @@
 
 /** Sends the process's log to standard output. Stateless. */
 public final class LogSetup {
-    private static final Logger OURS = Logger.getLogger("org.quetzalseam");
+    private static final Logger PROJECT_LOGGER = Logger.getLogger("org.quetzalseam");
 
     /** How much is logged. */
     public enum Detail {
@@ -30,12 +30,12 @@
         handler.setLevel(Level.INFO);
         root.addHandler(handler);
         root.setLevel(Level.WARNING);
-        OURS.setLevel(Level.INFO);
+        PROJECT_LOGGER.setLevel(Level.INFO);
         return handler;
     }
 
     /** Sets how much is logged from now on. */
     public static void detail(Detail detail) {
-        OURS.setLevel(detail == Detail.INFO ? Level.INFO : Level.WARNING);
+        PROJECT_LOGGER.setLevel(detail == Detail.INFO ? Level.INFO : Level.WARNING);
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/operator/GatewayMetrics.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/operator/GatewayMetrics.java
@@ -19,10 +19,11 @@
  * number of series stays bounded.
  */
 public final class GatewayMetrics {
-    private static final int MAX_NAMES = 100;
-    private static final String OTHER = "other";
+    private static final int MAX_NAME_LABELS = 100;
+    private static final String OTHER_LABEL = "other";
     /** Bounds of the histograms, in milliseconds: about a factor of two apart, from a network's time to a long stream's. */
-    private static final Duration[] BUCKETS = millis(5, 10, 20, 50, 100, 200, 400, 900, 2_000, 4_000, 8_000, 16_000);
+    private static final Duration[] HISTOGRAM_BUCKETS =
+            millis(5, 10, 20, 50, 100, 200, 400, 900, 2_000, 4_000, 8_000, 16_000);
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final Set<String> names = new HashSet<>();
@@ -37,19 +38,19 @@
         return durations;
     }
 
-    private String bounded(String name) {
-        if (names.contains(name) || (names.size() < MAX_NAMES && names.add(name))) {
+    private String boundedLabel(String name) {
+        if (names.contains(name) || (names.size() < MAX_NAME_LABELS && names.add(name))) {
             return name;
         }
-        return OTHER;
+        return OTHER_LABEL;
     }
 
     private Timer timer(String metric, String route) {
-        String label = bounded(route);
+        String label = boundedLabel(route);
         return timers.computeIfAbsent(
                 metric + label,
                 key -> Timer.builder(metric)
-                        .serviceLevelObjectives(BUCKETS)
+                        .serviceLevelObjectives(HISTOGRAM_BUCKETS)
                         .tag("route", label)
                         .register(registry));
     }
@@ -59,7 +60,7 @@
     }
 
     private void count(String metric, String nameTag, String name, String valueTag, String value, int by) {
-        String label = bounded(name);
+        String label = boundedLabel(name);
         counters.computeIfAbsent(
                         metric + label + "/" + value,
                         key -> Counter.builder(metric)
@@ -70,7 +71,7 @@
     }
 
     /** Notes a request's end: how, and how long after its arrival. */
-    public void ended(String route, String outcome, long millis) {
+    public void requestEnded(String route, String outcome, long millis) {
         count("quetzalseam.requests", "route", route, "outcome", outcome);
         timer("quetzalseam.answer.time", route).record(Duration.ofMillis(millis));
     }
@@ -86,12 +87,12 @@
     }
 
     /** Counts a try that an endpoint turned away, or that failed, by how. */
-    public void tried(String service, String outcome) {
+    public void failedAttempt(String service, String outcome) {
         count("quetzalseam.failed.tries", "service", service, "outcome", outcome);
     }
 
     /** Counts prompt tokens that were read and of which no whole answer came. */
-    public void promptInVain(String service, int tokens) {
+    public void wastedPromptTokens(String service, int tokens) {
         count("quetzalseam.prompt.tokens", "service", service, "use", "in-vain", tokens);
     }
 
@@ -111,7 +112,7 @@
     }
 
     /** Counts a refusal by its reason, which must come from a fixed set. */
-    public void refused(String reason) {
+    public void requestRefused(String reason) {
         count("quetzalseam.refusals", "entry", "all", "reason", reason);
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/operator/OperatorServer.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/operator/OperatorServer.java
@@ -24,7 +24,7 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import org.quetzalseam.gateway.http.Listener;
+import org.quetzalseam.gateway.http.ListeningSockets;
 
 /** Answers whether the process is ready, and other short questions, on addresses of their own. */
 public final class OperatorServer {
@@ -39,7 +39,7 @@
     }
 
     /** Adds a page of plain text, such as the metrics. Call it before {@link #start}. */
-    public void page(String path, Supplier<String> text) {
+    public void addPage(String path, Supplier<String> text) {
         pages.put(path, text);
     }
 
@@ -53,13 +53,13 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec()).addLast(new Questions());
+                        channel.pipeline().addLast(new HttpServerCodec()).addLast(new RequestHandler());
                     }
                 });
-        return Listener.address(Listener.open(bootstrap, address));
+        return ListeningSockets.localAddress(ListeningSockets.bind(bootstrap, address));
     }
 
-    private final class Questions extends SimpleChannelInboundHandler<HttpObject> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
             if (message instanceof HttpRequest request) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
@@ -15,7 +15,7 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.entry.EntryCount;
 import org.quetzalseam.gateway.http.CallFailure;
-import org.quetzalseam.gateway.http.WholeReply;
+import org.quetzalseam.gateway.http.ReplyCollector;
 import org.quetzalseam.gateway.protocol.RequestFacts;
 
 /**
@@ -210,7 +210,7 @@
     }
 
     private boolean mayHaveRoom(Endpoint engine, BookingRequest request, long now) {
-        if (inquiries.getOrDefault(engine, 0) >= MAX_INQUIRIES_PER_ENGINE || !engine.reachable()) {
+        if (inquiries.getOrDefault(engine, 0) >= MAX_INQUIRIES_PER_ENGINE || !engine.hasFreeConnection()) {
             return false;
         }
         Refusal refusal = refusals.get(engine);
@@ -279,17 +279,18 @@
     }
 
     private void book(Endpoint engine, int tokens, BookingListener listener) {
-        WholeReply reply = new WholeReply(
+        ReplyCollector reply = new ReplyCollector(
                 MAX_REPLY_BYTES,
                 (head, body) -> {
-                    String text = WholeReply.text(body);
+                    String text = ReplyCollector.text(body);
                     body.release();
                     Optional<String> id =
                             head.status().code() == 200 ? context.protocol().bookingId(text) : Optional.empty();
                     id.ifPresentOrElse(listener::booked, listener::full);
                 },
                 listener::failed);
-        engine.control(context.protocol().bookMemory(tokens, BOOKING_LIFETIME_MILLIS), ANSWER_TIMEOUT_MILLIS, reply);
+        engine.sendControl(
+                context.protocol().bookMemory(tokens, BOOKING_LIFETIME_MILLIS), ANSWER_TIMEOUT_MILLIS, reply);
     }
 
     private void refused(BookingRequest request, Endpoint engine) {
@@ -335,10 +336,10 @@
     }
 
     private void control(Endpoint engine, io.netty.handler.codec.http.FullHttpRequest request, String what) {
-        engine.control(
+        engine.sendControl(
                 request,
                 RELEASE_TIMEOUT_MILLIS,
-                new WholeReply(
+                new ReplyCollector(
                         MAX_REPLY_BYTES,
                         (head, body) -> body.release(),
                         failure -> logger.atInfo().log(
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/EngineExclusion.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/EngineExclusion.java
@@ -13,7 +13,7 @@
      */
     static List<Endpoint> withoutExcluded(List<Endpoint> engines, long now) {
         List<Endpoint> remaining =
-                engines.stream().filter(engine -> !engine.leftOut(now)).toList();
+                engines.stream().filter(engine -> !engine.excluded(now)).toList();
         return 2 * remaining.size() >= engines.size() ? remaining : engines;
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ForwardedRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ForwardedRequest.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.quetzalseam.core.routing.RouteRule;
 import org.quetzalseam.gateway.caller.Exchange;
-import org.quetzalseam.gateway.caller.HopHeaders;
+import org.quetzalseam.gateway.caller.HopByHopHeaders;
 import org.quetzalseam.gateway.protocol.Forwarding;
 import org.quetzalseam.gateway.protocol.Protocol;
 
@@ -33,7 +33,7 @@
                 exchange.request().method(),
                 exchange.request().uri());
         head.headers().set(exchange.request().headers());
-        HopHeaders.remove(head.headers());
+        HopByHopHeaders.remove(head.headers());
         protocol.rewriteHeaders(head.headers(), forwarding);
         return head;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
@@ -12,7 +12,7 @@
 import org.quetzalseam.gateway.http.CallFailure;
 import org.quetzalseam.gateway.protocol.Forwarding;
 import org.quetzalseam.gateway.protocol.ReplyFacts;
-import org.quetzalseam.gateway.runtime.Subscription;
+import org.quetzalseam.gateway.runtime.ScheduledCall;
 
 /**
  * Runs one streamed generation: books decode memory, has the prompt prefilled at a prefill engine and its KV cache fetched
@@ -37,7 +37,7 @@
     private @Nullable GenerationAdmission admission;
     private @Nullable PrefillRun prefill;
     private @Nullable EndpointCall decodeCall;
-    private @Nullable Subscription deadlineTimer;
+    private @Nullable ScheduledCall deadlineTimer;
     private final long earlierAttemptsMillis;
     private boolean mayHaveRun;
     private boolean finished;
@@ -60,9 +60,9 @@
     }
 
     void start() {
-        exchange.whenGone(this::callerDisconnected);
-        exchange.whenStopped(this::entryStopping);
-        exchange.whenWritable(this::callerWritable);
+        exchange.onCallerDisconnected(this::callerDisconnected);
+        exchange.onShutdown(this::entryStopping);
+        exchange.onWritable(this::callerWritable);
         deadlineTimer = context.after(forwarded.remainingMillis(), this::deadlinePassed);
         startAttempt();
     }
@@ -183,9 +183,9 @@
         @Override
         public void begun(HttpResponse head) {
             mayHaveRun = true;
-            engine.work().taken();
+            engine.workRejections().taken();
             if (prefillEngine != null) {
-                prefillEngine.caches().taken();
+                prefillEngine.cacheRejections().taken();
             }
             if (!exchange.begun()) {
                 exchange.begin(head);
@@ -232,9 +232,9 @@
      */
     private void recordRefusal(Endpoint engine, @Nullable Endpoint prefillEngine) {
         long now = context.now();
-        engine.work().turnedAway(now);
+        engine.workRejections().turnedAway(now);
         if (prefillEngine != null) {
-            prefillEngine.caches().turnedAway(now);
+            prefillEngine.cacheRejections().turnedAway(now);
         }
     }
 
@@ -301,7 +301,7 @@
         log.attemptsEnded(why, denied, context.describeBudget(service));
         finish("broken-off", HttpResponseStatus.BAD_GATEWAY.code());
         if (exchange.begun()) {
-            exchange.cut(why);
+            exchange.abort(why);
         } else {
             context.fail(exchange, HttpResponseStatus.BAD_GATEWAY, "the engine gave no whole answer");
         }
@@ -326,7 +326,7 @@
     private void callerWritable() {
         EndpointCall running = decodeCall;
         if (running != null) {
-            running.reading(true);
+            running.setAutoRead(true);
         }
     }
 
@@ -362,7 +362,7 @@
         }
         finish(outcome, status.code());
         if (exchange.begun()) {
-            exchange.cut(why);
+            exchange.abort(why);
         } else {
             context.fail(exchange, status, why);
         }
@@ -398,7 +398,7 @@
             return;
         }
         finished = true;
-        Subscription timer = deadlineTimer;
+        ScheduledCall timer = deadlineTimer;
         if (timer != null) {
             timer.cancel();
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -41,7 +41,7 @@
     Optional<Endpoint> best(int tokens, Collection<Endpoint> excluded, String zone) {
         long now = context.now();
         List<Endpoint> reachable = usable().stream()
-                .filter(engine -> !excluded.contains(engine) && engine.reachable())
+                .filter(engine -> !excluded.contains(engine) && engine.hasFreeConnection())
                 .toList();
         List<Endpoint> healthy = reachable.stream()
                 .filter(engine -> !engine.health().suspect(now))
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -11,9 +11,9 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.endpoint.EndpointCall;
 import org.quetzalseam.gateway.http.CallFailure;
-import org.quetzalseam.gateway.http.WholeReply;
+import org.quetzalseam.gateway.http.ReplyCollector;
 import org.quetzalseam.gateway.protocol.Forwarding;
-import org.quetzalseam.gateway.runtime.Subscription;
+import org.quetzalseam.gateway.runtime.ScheduledCall;
 
 /** Prefills one request's prompt at a prefill engine, at another one if the first fails. Used on the event loop only. */
 final class PrefillRun {
@@ -64,8 +64,8 @@
     private final Set<Endpoint> triedEngines = new HashSet<>();
     private ReadingPool<Endpoint>.@Nullable Reading prefill;
     private @Nullable EndpointCall call;
-    private @Nullable Subscription checkTimer;
-    private @Nullable Subscription giveUpTimer;
+    private @Nullable ScheduledCall checkTimer;
+    private @Nullable ScheduledCall giveUpTimer;
 
     PrefillRun(
             RunContext context,
@@ -126,7 +126,7 @@
         triedEngines.add(engine);
         prefill = newPrefill;
         long sentAt = context.now();
-        WholeReply reply = new WholeReply(
+        ReplyCollector reply = new ReplyCollector(
                 MAX_REPLY_BYTES,
                 (answer, body) -> answered(engine, decodeEngine, answer, body, sentAt),
                 failure -> failed(engine, decodeEngine, failure));
@@ -187,7 +187,7 @@
 
     private void answered(Endpoint engine, Endpoint decodeEngine, HttpResponse answer, ByteBuf body, long sentAt) {
         ReadingPool<Endpoint>.Reading answeredPrefill = prefill;
-        String text = WholeReply.text(body);
+        String text = ReplyCollector.text(body);
         body.release();
         // A handle of an ended incarnation may denote another prompt's cache in the next incarnation.
         Optional<String> handle = answer.status().code() == 200 && !engine.ended()
@@ -199,7 +199,7 @@
         }
         end();
         if (handle.isEmpty()) {
-            engine.work().turnedAway(context.now());
+            engine.workRejections().turnedAway(context.now());
             log.step(
                     "prefill-refused",
                     engine,
@@ -207,7 +207,7 @@
             retryElsewhere(decodeEngine);
             return;
         }
-        engine.work().taken();
+        engine.workRejections().taken();
         engine.health().succeeded(context.now(), millis);
         long predicted = answeredPrefill == null ? 0 : Math.round(answeredPrefill.predictedMillis());
         log.step("prefilled", engine, "took_ms=" + Math.round(millis) + " predicted_ms=" + predicted);
@@ -248,7 +248,7 @@
         }
     }
 
-    private static void cancel(@Nullable Subscription subscription) {
+    private static void cancel(@Nullable ScheduledCall subscription) {
         if (subscription != null) {
             subscription.cancel();
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -138,8 +138,9 @@
                         millisPerToken,
                         request.maxPauseMillis(),
                         now)
-                .filter(free ->
-                        free.reachable() && !free.leftOut(now) && !free.health().suspect(now));
+                .filter(free -> free.hasFreeConnection()
+                        && !free.excluded(now)
+                        && !free.health().suspect(now));
         engine.ifPresent(chosen -> inPlace.begin(chosen, request.promptTokens(), millisPerToken, now));
         return engine;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
@@ -84,7 +84,7 @@
 
     /** Returns whether the entry can serve requests: it knows its routes and its endpoints. */
     public boolean ready() {
-        return routes != null && context.directory().known();
+        return routes != null && context.directory().loaded();
     }
 
     /** Returns the limits on what callers may send. */
@@ -103,7 +103,7 @@
     /** Routes a request and has it answered. */
     public void route(Exchange exchange) {
         RouteTable table = routes;
-        if (table == null || !context.directory().known()) {
+        if (table == null || !context.directory().loaded()) {
             // A process that has just started gets requests before the first response from the store. It holds
             // them briefly, so that the callers need not retry.
             earlyRequests.add(exchange);
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -26,7 +26,7 @@
 import org.quetzalseam.gateway.entry.EntryCount;
 import org.quetzalseam.gateway.operator.GatewayMetrics;
 import org.quetzalseam.gateway.protocol.Protocol;
-import org.quetzalseam.gateway.runtime.Subscription;
+import org.quetzalseam.gateway.runtime.ScheduledCall;
 import org.quetzalseam.gateway.runtime.Timers;
 
 /** Holds the state that all requests of an entry share. Used on the event loop only. */
@@ -92,7 +92,7 @@
         return timers.now();
     }
 
-    Subscription after(long millis, Runnable call) {
+    ScheduledCall after(long millis, Runnable call) {
         return timers.after(millis, call);
     }
 
@@ -174,7 +174,7 @@
         EntryCount counted = entries;
         int sharing = counted == null ? 0 : counted.entries();
         for (ServiceRule service : services) {
-            directory.mostConnections(service.name(), ConnectionShare.of(service.maxConnections(), sharing));
+            directory.maxConnections(service.name(), ConnectionShare.of(service.maxConnections(), sharing));
         }
     }
 
@@ -270,7 +270,7 @@
     }
 
     private void answerRefused(Exchange exchange, String why, long retryAfterMillis) {
-        metrics.refused(why);
+        metrics.requestRefused(why);
         HttpHeaders headers = new DefaultHttpHeaders();
         protocol.setRetryAfter(headers, retryAfterMillis);
         exchange.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, why, headers);
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
@@ -70,14 +70,14 @@
     }
 
     void prefillWasted(int tokens) {
-        metrics.promptInVain(service, tokens);
+        metrics.wastedPromptTokens(service, tokens);
         logger.atInfo().log(
                 "event=prompt-in-vain request=%s tokens=%d age_ms=%d",
                 exchange.facts().id(), tokens, exchange.ageMillis());
     }
 
     void ended(String outcome, int status, int attempts) {
-        metrics.ended(route.name(), outcome, exchange.ageMillis());
+        metrics.requestEnded(route.name(), outcome, exchange.ageMillis());
         logger.atInfo().log(
                 "event=request-ended request=%s route=%s service=%s version=%d outcome=%s status=%d tries=%d age_ms=%d",
                 exchange.facts().id(), route.name(), service, version, outcome, status, attempts, exchange.ageMillis());
@@ -95,7 +95,7 @@
 
     /** Logs that an endpoint has refused the request, which means that it has not run there. */
     void rejected(Endpoint endpoint, int status, String budget) {
-        metrics.tried(service, "REJECTED");
+        metrics.failedAttempt(service, "REJECTED");
         step("rejected", endpoint, "status=" + status + " " + budget);
     }
 
@@ -106,7 +106,7 @@
     }
 
     void callFailed(String call, Endpoint endpoint, CallFailure failure) {
-        metrics.tried(service, failure.kind().name());
+        metrics.failedAttempt(service, failure.kind().name());
         logger.atInfo().log(
                 "event=call-failed call=%s request=%s endpoint=%s age_ms=%d kind=%s detail=\"%s\"",
                 call,
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
@@ -17,10 +17,10 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.endpoint.EndpointCall;
 import org.quetzalseam.gateway.http.CallFailure;
-import org.quetzalseam.gateway.http.WholeReply;
+import org.quetzalseam.gateway.http.ReplyCollector;
 import org.quetzalseam.gateway.protocol.Forwarding;
 import org.quetzalseam.gateway.protocol.ReplyFacts;
-import org.quetzalseam.gateway.runtime.Subscription;
+import org.quetzalseam.gateway.runtime.ScheduledCall;
 
 /**
  * Runs one call of a plain service and forwards the answer when it is complete. Used on the event loop only.
@@ -49,8 +49,8 @@
     private final Set<Endpoint> triedEndpoints = new HashSet<>();
     private @Nullable EndpointCall call;
     private @Nullable Endpoint currentEndpoint;
-    private @Nullable Subscription attemptTimer;
-    private @Nullable Subscription deadlineTimer;
+    private @Nullable ScheduledCall attemptTimer;
+    private @Nullable ScheduledCall deadlineTimer;
     private int runs;
     private int rejections;
     private int connectFailures;
@@ -66,8 +66,8 @@
     }
 
     void start() {
-        exchange.whenGone(this::callerDisconnected);
-        exchange.whenStopped(this::entryStopping);
+        exchange.onCallerDisconnected(this::callerDisconnected);
+        exchange.onShutdown(this::entryStopping);
         deadlineTimer = context.after(forwarded.remainingMillis(), this::deadlinePassed);
         sendToNext();
     }
@@ -81,7 +81,7 @@
                 .thenComparing(endpoint ->
                         !endpoint.member().zone().equals(context.settings().zone()))
                 .thenComparing(endpoint -> ThreadLocalRandom.current().nextInt());
-        return usable.stream().filter(Endpoint::reachable).min(order);
+        return usable.stream().filter(Endpoint::hasFreeConnection).min(order);
     }
 
     private static double expectedMillis(Endpoint endpoint) {
@@ -104,7 +104,7 @@
         currentEndpoint = endpoint;
         HttpRequest head = forwarded.head(Forwarding.whole(endpoint.member().id(), forwarded.remainingMillis()));
         long sentAt = context.now();
-        WholeReply reply = new WholeReply(
+        ReplyCollector reply = new ReplyCollector(
                 MAX_ANSWER_BYTES,
                 (answer, body) -> answered(endpoint, answer, body, sentAt),
                 failure -> failed(endpoint, failure));
@@ -129,7 +129,7 @@
     }
 
     private void stopAttemptTimer() {
-        Subscription timer = attemptTimer;
+        ScheduledCall timer = attemptTimer;
         if (timer != null) {
             timer.cancel();
             attemptTimer = null;
@@ -275,7 +275,7 @@
 
     private void finish(String outcome, int status) {
         stopAttemptTimer();
-        Subscription timer = deadlineTimer;
+        ScheduledCall timer = deadlineTimer;
         if (timer != null) {
             timer.cancel();
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/StreamRelay.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/StreamRelay.java
@@ -52,9 +52,9 @@
         if (first) {
             log.firstEvent();
         }
-        exchange.piece(ready);
+        exchange.writeBody(ready);
         if (from != null && !exchange.writable()) {
-            from.reading(false);
+            from.setAutoRead(false);
         }
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/WaitingRequests.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/WaitingRequests.java
@@ -29,7 +29,7 @@
             return;
         }
         waiting.add(exchange);
-        exchange.whenGone(() -> waiting.remove(exchange));
+        exchange.onCallerDisconnected(() -> waiting.remove(exchange));
         context.after(MAX_WAIT_MILLIS, () -> {
             if (waiting.remove(exchange)) {
                 refuse.accept(exchange);
--- a/gateway/src/main/java/org/quetzalseam/gateway/runtime/ProcessSignals.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/runtime/ProcessSignals.java
@@ -13,24 +13,24 @@
  */
 public final class ProcessSignals {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final String RELOAD = "HUP";
-    private static final String STOP = "TERM";
-    private static final String INTERRUPT = "INT";
+    private static final String RELOAD_SIGNAL = "HUP";
+    private static final String STOP_SIGNAL = "TERM";
+    private static final String INTERRUPT_SIGNAL = "INT";
 
     private ProcessSignals() {}
 
     /** Calls on a thread of its own whenever the settings are to be read again. */
-    public static void whenReload(Runnable call) {
-        take(RELOAD, call);
+    public static void onReload(Runnable call) {
+        register(RELOAD_SIGNAL, call);
     }
 
     /** Calls on a thread of its own when the process is to stop. */
-    public static void whenStop(Runnable call) {
-        take(STOP, call);
-        take(INTERRUPT, call);
+    public static void onStop(Runnable call) {
+        register(STOP_SIGNAL, call);
+        register(INTERRUPT_SIGNAL, call);
     }
 
-    private static void take(String name, Runnable call) {
+    private static void register(String name, Runnable call) {
         try {
             Class<?> signalType = Class.forName("sun.misc.Signal");
             Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
--- a/gateway/src/main/java/org/quetzalseam/gateway/runtime/Timers.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/runtime/Timers.java
@@ -11,7 +11,7 @@
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final EventLoop loop;
-    private final LongSupplier steadyNanos;
+    private final LongSupplier monotonicNanos;
     private final LongSupplier wallMillis;
 
     /** Creates timers of an event loop, by the machine's clocks. */
@@ -23,18 +23,18 @@
      * Creates timers of an event loop.
      *
      * @param loop the event loop
-     * @param steadyNanos the monotonic clock
+     * @param monotonicNanos the monotonic clock
      * @param wallMillis the time of day, which may jump
      */
     public Timers(EventLoop loop, LongSupplier steadyNanos, LongSupplier wallMillis) {
         this.loop = loop;
-        this.steadyNanos = steadyNanos;
+        this.monotonicNanos = steadyNanos;
         this.wallMillis = wallMillis;
     }
 
     /** Returns the monotonic time in nanoseconds. */
     public long now() {
-        return steadyNanos.getAsLong();
+        return monotonicNanos.getAsLong();
     }
 
     /** Returns the time of day in milliseconds; it may jump. */
@@ -48,13 +48,13 @@
     }
 
     /** Calls once, after so many milliseconds. */
-    public Subscription after(long millis, Runnable call) {
+    public ScheduledCall after(long millis, Runnable call) {
         Future<?> scheduled = loop.schedule(guarded(call), Math.max(0, millis), TimeUnit.MILLISECONDS);
         return () -> scheduled.cancel(false);
     }
 
     /** Calls again and again, with so many milliseconds from one call to the next. */
-    public Subscription every(long millis, Runnable call) {
+    public ScheduledCall every(long millis, Runnable call) {
         Future<?> scheduled = loop.scheduleWithFixedDelay(guarded(call), millis, millis, TimeUnit.MILLISECONDS);
         return () -> scheduled.cancel(false);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageController.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageController.java
@@ -14,7 +14,7 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.endpoint.EndpointCall;
 import org.quetzalseam.gateway.http.CallFailure;
-import org.quetzalseam.gateway.http.WholeReply;
+import org.quetzalseam.gateway.http.ReplyCollector;
 import org.quetzalseam.gateway.protocol.EngineLoad;
 import org.quetzalseam.gateway.protocol.Protocol;
 import org.quetzalseam.gateway.route.EntrySettings;
@@ -94,13 +94,13 @@
         List<Endpoint> engines = engines();
         outstandingReports = engines.size();
         for (Endpoint engine : engines) {
-            EndpointCall report = engine.control(
+            EndpointCall report = engine.sendControl(
                     protocol.reportLoad(engine.member().id()),
                     ANSWER_TIMEOUT_MILLIS,
-                    new WholeReply(
+                    new ReplyCollector(
                             MAX_REPLY_BYTES,
                             (head, body) -> {
-                                String text = WholeReply.text(body);
+                                String text = ReplyCollector.text(body);
                                 body.release();
                                 protocol.load(text).ifPresent(load -> onReport(engine, load));
                                 reportCompleted();
@@ -116,7 +116,7 @@
         if (load.startMillis() == known) {
             loads.put(engine, load);
         } else if (load.startMillis() > known) {
-            directory.startedAgain(engine, load.startMillis());
+            directory.recordRestart(engine, load.startMillis());
         } else {
             logger.atInfo().log(
                     "event=load-outlived service=%s endpoint=%s start_ms=%d known_ms=%d",
@@ -208,11 +208,11 @@
                 load.orders(),
                 engine.get().member().id());
         boolean sent = engine.get()
-                .controlAfter(
+                .sendControlAfter(
                         report,
                         order,
                         ANSWER_TIMEOUT_MILLIS,
-                        new WholeReply(
+                        new ReplyCollector(
                                 MAX_REPLY_BYTES,
                                 (head, body) -> {
                                     body.release();
--- a/gateway/src/main/java/org/quetzalseam/gateway/store/KindWatch.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/store/KindWatch.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.core.store.StorePosition;
-import org.quetzalseam.gateway.runtime.Subscription;
+import org.quetzalseam.gateway.runtime.ScheduledCall;
 import org.quetzalseam.gateway.runtime.Timers;
 
 /**
@@ -38,7 +38,7 @@
     /** How long after the store's return entries may still be missing that live, in nanoseconds. */
     private static final long RECOVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
-    private static final Subscription NO_TIMER = () -> {};
+    private static final ScheduledCall NO_TIMER = () -> {};
 
     private final Timers timers;
     private final ObjectStore store;
@@ -61,7 +61,7 @@
     /** Whether the call under way is to be answered at once. */
     private boolean immediateAnswerExpected;
 
-    private Subscription nextCall = NO_TIMER;
+    private ScheduledCall nextCall = NO_TIMER;
 
     /** Creates a watch; {@link #start} begins it. */
     public KindWatch(Timers timers, ObjectStore store, String kind, KindListener listener) {
@@ -194,7 +194,7 @@
         immediateAnswerExpected = waitMillis == NO_WAIT_MILLIS;
         nextCall.cancel();
         StorePosition from = newest;
-        Subscription late =
+        ScheduledCall late =
                 mayBeLate ? timers.after(waitMillis + LATE_AFTER_MILLIS, () -> restartWatch(asked)) : NO_TIMER;
         store.watch(
                 kind,
@@ -204,7 +204,7 @@
                 failure -> onAnswer(asked, late, () -> watchFailed(from, failure)));
     }
 
-    private void onAnswer(long asked, Subscription late, Runnable call) {
+    private void onAnswer(long asked, ScheduledCall late, Runnable call) {
         late.cancel();
         if (asked == newestWatch) {
             call.run();
--- a/gateway/src/test/java/org/quetzalseam/gateway/caller/CallerServerTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/caller/CallerServerTest.java
@@ -30,9 +30,9 @@
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
-    private final CountDownLatch taken = new CountDownLatch(CALLERS);
-    private final CallerServer server = new CallerServer(loop, protocol(), () -> CallerLimits.DEFAULT, this::take);
-    private int asked;
+    private final CountDownLatch accepted = new CountDownLatch(CALLERS);
+    private final CallerServer server = new CallerServer(loop, protocol(), () -> CallerLimits.DEFAULT, this::accept);
+    private int requests;
 
     @AfterEach
     void stop() {
@@ -47,19 +47,19 @@
     }
 
     /** Takes a request that never ends; every second one fails when it has to. */
-    private void take(Exchange exchange) {
-        boolean fails = asked++ % 2 == 0;
-        exchange.whenStopped(() -> {
+    private void accept(Exchange exchange) {
+        boolean fails = requests++ % 2 == 0;
+        exchange.onShutdown(() -> {
             if (fails) {
                 throw new IllegalStateException("fails at the end");
             }
             exchange.answer(HttpResponseStatus.BAD_GATEWAY, "stops", new DefaultHttpHeaders());
         });
-        taken.countDown();
+        accepted.countDown();
     }
 
     @Test
-    void aRequestThatFailsAtTheEndTakesNoAnswerFromTheOthers() throws Exception {
+    void aRequestThatFailsAtShutdownDoesNotKeepOthersFromBeingAnswered() throws Exception {
         InetSocketAddress address = freeAddress();
         server.start(address);
         List<Socket> callers = new ArrayList<>();
@@ -68,9 +68,9 @@
             caller.getOutputStream().write("GET / HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.UTF_8));
             callers.add(caller);
         }
-        taken.await();
+        accepted.await();
         loop.submit(() -> {
-                    server.leave();
+                    server.startDraining();
                     server.endAll();
                 })
                 .await();
--- a/gateway/src/test/java/org/quetzalseam/gateway/log/AsyncLogHandlerTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/log/AsyncLogHandlerTest.java
@@ -14,9 +14,9 @@
     private static final int MANY = 10_000;
 
     /** A reader of the log that takes nothing until it is let. */
-    private static final class SlowReader extends OutputStream {
-        private final ByteArrayOutputStream taken = new ByteArrayOutputStream();
-        private final CountDownLatch reads = new CountDownLatch(1);
+    private static final class BlockedOutput extends OutputStream {
+        private final ByteArrayOutputStream written = new ByteArrayOutputStream();
+        private final CountDownLatch unblocked = new CountDownLatch(1);
 
         @Override
         public void write(int single) {
@@ -26,51 +26,51 @@
         @Override
         public void write(byte[] bytes, int from, int length) {
             try {
-                reads.await();
+                unblocked.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            synchronized (taken) {
-                taken.write(bytes, from, length);
+            synchronized (written) {
+                written.write(bytes, from, length);
             }
         }
 
         String text() {
-            synchronized (taken) {
-                return taken.toString(StandardCharsets.UTF_8);
+            synchronized (written) {
+                return written.toString(StandardCharsets.UTF_8);
             }
         }
     }
 
-    private final SlowReader reader = new SlowReader();
-    private final AsyncLogHandler handler = new AsyncLogHandler(reader);
+    private final BlockedOutput output = new BlockedOutput();
+    private final AsyncLogHandler handler = new AsyncLogHandler(output);
 
     private void awaitText(String text) throws InterruptedException {
-        for (int i = 0; i < 500 && !reader.text().contains(text); i++) {
+        for (int i = 0; i < 500 && !output.text().contains(text); i++) {
             Thread.sleep(20);
         }
-        assertThat(reader.text()).contains(text);
+        assertThat(output.text()).contains(text);
     }
 
     @Test
-    void whoLogsNeverWaitsForAReaderThatHasStopped() throws InterruptedException {
+    void loggingNeverBlocksWhileTheOutputIsBlocked() throws InterruptedException {
         for (int i = 0; i < MANY; i++) {
             handler.publish(new LogRecord(Level.INFO, "event=usual number=" + i));
         }
-        reader.reads.countDown();
+        output.unblocked.countDown();
         awaitText("event=log-lines-left-out");
         handler.close();
     }
 
     @Test
-    void warningsHaveRoomWhenUsualLinesAreLeftOut() throws InterruptedException {
+    void warningsAreQueuedWhenInfoLinesAreDropped() throws InterruptedException {
         for (int i = 0; i < MANY; i++) {
             handler.publish(new LogRecord(Level.INFO, "event=usual number=" + i));
         }
         handler.publish(new LogRecord(Level.WARNING, "event=unusual"));
-        reader.reads.countDown();
+        output.unblocked.countDown();
         awaitText("event=unusual");
-        assertThat(reader.text()).doesNotContain("number=" + (MANY - 1));
+        assertThat(output.text()).doesNotContain("number=" + (MANY - 1));
         handler.close();
     }
 }
