--- a/core/src/main/java/org/quetzalseam/core/admission/BookingPolicy.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/BookingPolicy.java
@@ -14,7 +14,7 @@
      * @param meanHoldMillis mean time that an attempt holds a place, in milliseconds; 0 when nothing is known
      * @param leadMillis expected time from booking until the KV cache arrives, in milliseconds
      */
-    int extraPlaces(int capacity, long meanHoldMillis, long leadMillis);
+    int extraSlots(int capacity, long meanHoldMillis, long leadMillis);
 
     /** Returns the policy that books only what is free. */
     static BookingPolicy whenFree() {
--- a/core/src/main/java/org/quetzalseam/core/admission/FairQueue.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/FairQueue.java
@@ -18,32 +18,32 @@
  */
 final class FairQueue implements WorkQueue {
     /** After this many short attempts in a row a waiting long one goes first. */
-    static final int SHORT_RUN = 16;
+    static final int MAX_CONSECUTIVE_SHORT = 16;
 
-    private static final class Line {
-        final Deque<Ticket> tickets = new ArrayDeque<>();
+    private static final class OwnerQueue {
+        final Deque<QueuedAttempt> attempts = new ArrayDeque<>();
         double virtualStart;
     }
 
-    private static final class Lane {
-        final Map<String, Line> lines = new HashMap<>();
+    private static final class ClassQueue {
+        final Map<String, OwnerQueue> ownerQueues = new HashMap<>();
         double virtualTime;
         long cost;
     }
 
-    private final Map<WorkClass, Lane> lanes = new EnumMap<>(WorkClass.class);
+    private final Map<WorkClass, ClassQueue> classQueues = new EnumMap<>(WorkClass.class);
     private final Map<String, Integer> waitingByEntry = new HashMap<>();
     private int size;
-    private int shortRun;
+    private int consecutiveShort;
 
     FairQueue() {
         for (WorkClass workClass : WorkClass.values()) {
-            lanes.put(workClass, new Lane());
+            classQueues.put(workClass, new ClassQueue());
         }
     }
 
-    private Lane lane(WorkClass workClass) {
-        Lane lane = lanes.get(workClass);
+    private ClassQueue classQueue(WorkClass workClass) {
+        ClassQueue lane = classQueues.get(workClass);
         if (lane == null) {
             throw new IllegalStateException("no lane for class " + workClass);
         }
@@ -51,36 +51,36 @@
     }
 
     @Override
-    public void add(Ticket ticket) {
-        Lane lane = lane(ticket.workClass());
-        Line line = lane.lines.computeIfAbsent(ticket.owner(), unused -> new Line());
-        if (line.tickets.isEmpty()) {
+    public void add(QueuedAttempt ticket) {
+        ClassQueue lane = classQueue(ticket.workClass());
+        OwnerQueue line = lane.ownerQueues.computeIfAbsent(ticket.owner(), unused -> new OwnerQueue());
+        if (line.attempts.isEmpty()) {
             line.virtualStart = Math.max(line.virtualStart, lane.virtualTime);
         }
-        line.tickets.addLast(ticket);
+        line.attempts.addLast(ticket);
         lane.cost += ticket.cost();
         size++;
         waitingByEntry.merge(ticket.entry(), 1, Integer::sum);
     }
 
     @Override
-    public Optional<Ticket> poll(Predicate<Ticket> startable) {
-        boolean longFirst = shortRun >= SHORT_RUN;
+    public Optional<QueuedAttempt> poll(Predicate<QueuedAttempt> startable) {
+        boolean longFirst = consecutiveShort >= MAX_CONSECUTIVE_SHORT;
         WorkClass first = longFirst ? WorkClass.LONG : WorkClass.SHORT;
         WorkClass second = longFirst ? WorkClass.SHORT : WorkClass.LONG;
-        Optional<Ticket> next = pollLane(first, startable);
+        Optional<QueuedAttempt> next = pollClass(first, startable);
         if (next.isEmpty()) {
-            next = pollLane(second, startable);
+            next = pollClass(second, startable);
         }
-        next.ifPresent(ticket -> shortRun = ticket.workClass() == WorkClass.SHORT ? shortRun + 1 : 0);
+        next.ifPresent(ticket -> consecutiveShort = ticket.workClass() == WorkClass.SHORT ? consecutiveShort + 1 : 0);
         return next;
     }
 
-    private Optional<Ticket> pollLane(WorkClass workClass, Predicate<Ticket> startable) {
-        Lane lane = lane(workClass);
-        Line best = null;
-        for (Line line : lane.lines.values()) {
-            Ticket head = line.tickets.peekFirst();
+    private Optional<QueuedAttempt> pollClass(WorkClass workClass, Predicate<QueuedAttempt> startable) {
+        ClassQueue lane = classQueue(workClass);
+        OwnerQueue best = null;
+        for (OwnerQueue line : lane.ownerQueues.values()) {
+            QueuedAttempt head = line.attempts.peekFirst();
             if (head == null || !startable.test(head)) {
                 continue;
             }
@@ -91,33 +91,33 @@
         if (best == null) {
             return Optional.empty();
         }
-        Ticket ticket = best.tickets.removeFirst();
+        QueuedAttempt ticket = best.attempts.removeFirst();
         lane.virtualTime = Math.max(lane.virtualTime, best.virtualStart);
         best.virtualStart += (double) ticket.cost() / ticket.weight();
-        forget(lane, ticket);
+        updateAfterRemoval(lane, ticket);
         return Optional.of(ticket);
     }
 
-    private void forget(Lane lane, Ticket ticket) {
+    private void updateAfterRemoval(ClassQueue lane, QueuedAttempt ticket) {
         lane.cost -= ticket.cost();
         size--;
-        waitingByEntry.merge(ticket.entry(), -1, FairQueue::sumOrNothing);
-        lane.lines.values().removeIf(line -> line.tickets.isEmpty() && line.virtualStart <= lane.virtualTime);
+        waitingByEntry.merge(ticket.entry(), -1, FairQueue::sumOrNullIfZero);
+        lane.ownerQueues.values().removeIf(line -> line.attempts.isEmpty() && line.virtualStart <= lane.virtualTime);
     }
 
-    private static @Nullable Integer sumOrNothing(int count, int change) {
+    private static @Nullable Integer sumOrNullIfZero(int count, int change) {
         return count + change == 0 ? null : count + change;
     }
 
-    private List<Ticket> take(Predicate<Ticket> wanted) {
-        List<Ticket> taken = new ArrayList<>();
-        for (Lane lane : lanes.values()) {
-            List<Ticket> fromLane = new ArrayList<>();
-            for (Line line : lane.lines.values()) {
-                line.tickets.stream().filter(wanted).forEach(fromLane::add);
-                line.tickets.removeIf(wanted);
+    private List<QueuedAttempt> removeMatching(Predicate<QueuedAttempt> wanted) {
+        List<QueuedAttempt> taken = new ArrayList<>();
+        for (ClassQueue lane : classQueues.values()) {
+            List<QueuedAttempt> fromLane = new ArrayList<>();
+            for (OwnerQueue line : lane.ownerQueues.values()) {
+                line.attempts.stream().filter(wanted).forEach(fromLane::add);
+                line.attempts.removeIf(wanted);
             }
-            fromLane.forEach(ticket -> forget(lane, ticket));
+            fromLane.forEach(ticket -> updateAfterRemoval(lane, ticket));
             taken.addAll(fromLane);
         }
         return taken;
@@ -125,17 +125,17 @@
 
     @Override
     public boolean remove(AttemptId id) {
-        return !take(ticket -> ticket.id().equals(id)).isEmpty();
+        return !removeMatching(ticket -> ticket.id().equals(id)).isEmpty();
     }
 
     @Override
-    public List<Ticket> expire(long now) {
-        return take(ticket -> ticket.waitUntil() - now < 0);
+    public List<QueuedAttempt> expire(long now) {
+        return removeMatching(ticket -> ticket.deadlineNanos() - now < 0);
     }
 
     @Override
-    public List<Ticket> drain() {
-        return take(ticket -> true);
+    public List<QueuedAttempt> drain() {
+        return removeMatching(ticket -> true);
     }
 
     @Override
@@ -145,8 +145,8 @@
 
     @Override
     public long costAhead(WorkClass workClass) {
-        long ahead = lane(WorkClass.SHORT).cost;
-        return workClass == WorkClass.SHORT ? ahead : ahead + lane(WorkClass.LONG).cost;
+        long ahead = classQueue(WorkClass.SHORT).cost;
+        return workClass == WorkClass.SHORT ? ahead : ahead + classQueue(WorkClass.LONG).cost;
     }
 
     @Override
--- a/core/src/main/java/org/quetzalseam/core/admission/FifoQueue.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/FifoQueue.java
@@ -10,55 +10,56 @@
 
 /** One line in order of arrival for all owners and classes. A head that can't start holds up all behind it. */
 final class FifoQueue implements WorkQueue {
-    private final Deque<Ticket> tickets = new ArrayDeque<>();
+    private final Deque<QueuedAttempt> attempts = new ArrayDeque<>();
 
     @Override
-    public void add(Ticket ticket) {
-        tickets.addLast(ticket);
+    public void add(QueuedAttempt ticket) {
+        attempts.addLast(ticket);
     }
 
     @Override
-    public Optional<Ticket> poll(Predicate<Ticket> startable) {
-        Ticket head = tickets.peekFirst();
+    public Optional<QueuedAttempt> poll(Predicate<QueuedAttempt> startable) {
+        QueuedAttempt head = attempts.peekFirst();
         if (head == null || !startable.test(head)) {
             return Optional.empty();
         }
-        return Optional.of(tickets.removeFirst());
+        return Optional.of(attempts.removeFirst());
     }
 
     @Override
     public boolean remove(AttemptId id) {
-        return tickets.removeIf(ticket -> ticket.id().equals(id));
+        return attempts.removeIf(ticket -> ticket.id().equals(id));
     }
 
     @Override
-    public List<Ticket> expire(long now) {
-        List<Ticket> expired = new ArrayList<>(
-                tickets.stream().filter(ticket -> ticket.waitUntil() - now < 0).toList());
-        tickets.removeAll(expired);
+    public List<QueuedAttempt> expire(long now) {
+        List<QueuedAttempt> expired = new ArrayList<>(attempts.stream()
+                .filter(ticket -> ticket.deadlineNanos() - now < 0)
+                .toList());
+        attempts.removeAll(expired);
         return expired;
     }
 
     @Override
-    public List<Ticket> drain() {
-        List<Ticket> all = List.copyOf(tickets);
-        tickets.clear();
+    public List<QueuedAttempt> drain() {
+        List<QueuedAttempt> all = List.copyOf(attempts);
+        attempts.clear();
         return all;
     }
 
     @Override
     public int waiting(String entry) {
         return (int)
-                tickets.stream().filter(ticket -> ticket.entry().equals(entry)).count();
+                attempts.stream().filter(ticket -> ticket.entry().equals(entry)).count();
     }
 
     @Override
     public long costAhead(WorkClass workClass) {
-        return tickets.stream().mapToLong(Ticket::cost).sum();
+        return attempts.stream().mapToLong(QueuedAttempt::cost).sum();
     }
 
     @Override
     public int size() {
-        return tickets.size();
+        return attempts.size();
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/admission/Ticket.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/QueuedAttempt.java
@@ -11,12 +11,12 @@
  * @param workClass the class of work
  * @param weight the owner's weight, positive
  * @param cost size of the work in any unit that is the same throughout one queue, such as tokens
- * @param waitUntil time after which it must not be started any more, in nanoseconds of the endpoint's monotonic clock
+ * @param deadlineNanos time after which it must not be started any more, in nanoseconds of the endpoint's monotonic clock
  */
-public record Ticket(
-        AttemptId id, String owner, String entry, WorkClass workClass, int weight, long cost, long waitUntil) {
+public record QueuedAttempt(
+        AttemptId id, String owner, String entry, WorkClass workClass, int weight, long cost, long deadlineNanos) {
     /** Checks that weight and cost are positive. */
-    public Ticket {
+    public QueuedAttempt {
         if (weight < 1 || cost < 1) {
             throw new IllegalArgumentException("weight, cost: expected at least 1, got " + weight + ", " + cost);
         }
--- a/core/src/main/java/org/quetzalseam/core/admission/SlotLedger.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/SlotLedger.java
@@ -38,7 +38,7 @@
      * @param workClass the class of work
      * @param extra places that may be booked beyond those that there are
      */
-    public boolean available(WorkClass workClass, int extra) {
+    public boolean isAvailable(WorkClass workClass, int extra) {
         if (held.size() >= capacity + extra) {
             return false;
         }
@@ -47,7 +47,7 @@
 
     /** Takes a place. Returns false when there is none for this class, or when the attempt holds one already. */
     public boolean book(AttemptId id, WorkClass workClass, int extra) {
-        if (held.containsKey(id) || !available(workClass, extra)) {
+        if (held.containsKey(id) || !isAvailable(workClass, extra)) {
             return false;
         }
         held.put(id, workClass);
--- a/core/src/main/java/org/quetzalseam/core/admission/WorkQueue.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/WorkQueue.java
@@ -20,19 +20,19 @@
     }
 
     /** Adds an attempt at the end of its line. */
-    void add(Ticket ticket);
+    void add(QueuedAttempt ticket);
 
     /** Removes and returns the next attempt that the predicate accepts. */
-    Optional<Ticket> poll(Predicate<Ticket> startable);
+    Optional<QueuedAttempt> poll(Predicate<QueuedAttempt> startable);
 
     /** Removes one attempt. Returns false when it does not wait here. */
     boolean remove(AttemptId id);
 
     /** Removes and returns the attempts whose wait is over at {@code now}. */
-    List<Ticket> expire(long now);
+    List<QueuedAttempt> expire(long now);
 
     /** Removes and returns everything, in no particular order. */
-    List<Ticket> drain();
+    List<QueuedAttempt> drain();
 
     /** Returns how many attempts of one catalogue entry wait here. */
     int waiting(String entry);
--- a/core/src/main/java/org/quetzalseam/core/attempt/AttemptTable.java
+++ b/core/src/main/java/org/quetzalseam/core/attempt/AttemptTable.java
@@ -12,7 +12,7 @@
  *
  * <p>An attempt is {@code WAITING} until {@link #start}, then {@code STARTED} until {@link #finish}. {@link #seal} of an
  * attempt that has not started, known or not, leaves a tombstone: a later {@link #offer} or {@link #start} is refused.
- * Each attempt is held under a lease that its entry renews; {@link #lapsed} returns the ones whose lease has run out.
+ * Each attempt is held under a lease that its entry renews; {@link #expireLeases} returns the ones whose lease has run out.
  *
  * <p>Thread-safe: records are spread over shards, each under its own lock. Times are nanoseconds of one monotonic clock.
  *
@@ -28,30 +28,30 @@
         SEALED
     }
 
-    private static final class Entry<W> {
+    private static final class TrackedAttempt<W> {
         State state;
 
         @Nullable
         W work;
 
-        long leaseUntil;
-        long changedAt;
+        long leaseEndNanos;
+        long changedAtNanos;
 
-        Entry(State state, @Nullable W work, long leaseUntil, long changedAt) {
+        TrackedAttempt(State state, @Nullable W work, long leaseUntil, long changedAt) {
             this.state = state;
             this.work = work;
-            this.leaseUntil = leaseUntil;
-            this.changedAt = changedAt;
+            this.leaseEndNanos = leaseUntil;
+            this.changedAtNanos = changedAt;
         }
 
-        boolean live() {
+        boolean isLive() {
             return state == State.WAITING || state == State.STARTED;
         }
     }
 
     private final long leaseNanos;
     private final long retentionNanos;
-    private final List<Map<AttemptId, Entry<W>>> shards = new ArrayList<>();
+    private final List<Map<AttemptId, TrackedAttempt<W>>> shards = new ArrayList<>();
 
     /**
      * Creates an empty table.
@@ -71,18 +71,18 @@
         }
     }
 
-    private Map<AttemptId, Entry<W>> shard(AttemptId id) {
+    private Map<AttemptId, TrackedAttempt<W>> shard(AttemptId id) {
         return shards.get(Math.floorMod(id.hashCode(), SHARDS));
     }
 
     /** Takes in a new attempt. Returns false, and changes nothing, when the attempt is known or sealed. */
     public boolean offer(AttemptId id, W work, long now) {
-        Map<AttemptId, Entry<W>> shard = shard(id);
+        Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
             if (shard.containsKey(id)) {
                 return false;
             }
-            shard.put(id, new Entry<>(State.WAITING, work, now + leaseNanos, now));
+            shard.put(id, new TrackedAttempt<>(State.WAITING, work, now + leaseNanos, now));
             return true;
         }
     }
@@ -92,35 +92,36 @@
      * caller must then not run it.
      */
     public boolean start(AttemptId id, long now) {
-        Map<AttemptId, Entry<W>> shard = shard(id);
+        Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
-            Entry<W> entry = shard.get(id);
-            if (entry == null || entry.state != State.WAITING || entry.leaseUntil - now < 0) {
+            TrackedAttempt<W> entry = shard.get(id);
+            if (entry == null || entry.state != State.WAITING || entry.leaseEndNanos - now < 0) {
                 return false;
             }
             entry.state = State.STARTED;
-            entry.changedAt = now;
+            entry.changedAtNanos = now;
             return true;
         }
     }
 
     /** Notes that a started attempt has ended. Its work stays readable until the retention is over. */
     public void finish(AttemptId id, long now) {
-        Map<AttemptId, Entry<W>> shard = shard(id);
+        Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
-            Entry<W> entry = shard.get(id);
+            TrackedAttempt<W> entry = shard.get(id);
             if (entry != null && entry.state == State.STARTED) {
                 entry.state = State.FINISHED;
-                entry.changedAt = now;
+                entry.changedAtNanos = now;
             }
         }
     }
 
     /** Makes sure that an attempt which has not started never will, and says what is known of it. */
     public SealResult seal(AttemptId id, long now) {
-        Map<AttemptId, Entry<W>> shard = shard(id);
+        Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
-            Entry<W> entry = shard.computeIfAbsent(id, unused -> new Entry<>(State.SEALED, null, now, now));
+            TrackedAttempt<W> entry =
+                    shard.computeIfAbsent(id, unused -> new TrackedAttempt<>(State.SEALED, null, now, now));
             if (entry.state == State.STARTED) {
                 return SealResult.STARTED;
             }
@@ -128,16 +129,16 @@
                 return SealResult.FINISHED;
             }
             entry.state = State.SEALED;
-            entry.changedAt = now;
+            entry.changedAtNanos = now;
             return SealResult.BEFORE_START;
         }
     }
 
     /** Returns the work of an attempt, or null when the attempt is unknown or only a tombstone. */
     public @Nullable W work(AttemptId id) {
-        Map<AttemptId, Entry<W>> shard = shard(id);
+        Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
         synchronized (shard) {
-            Entry<W> entry = shard.get(id);
+            TrackedAttempt<W> entry = shard.get(id);
             return entry == null ? null : entry.work;
         }
     }
@@ -145,11 +146,11 @@
     /** Extends the leases of attempts that their entry still holds. */
     public void renew(Iterable<AttemptId> ids, long now) {
         for (AttemptId id : ids) {
-            Map<AttemptId, Entry<W>> shard = shard(id);
+            Map<AttemptId, TrackedAttempt<W>> shard = shard(id);
             synchronized (shard) {
-                Entry<W> entry = shard.get(id);
-                if (entry != null && entry.live()) {
-                    entry.leaseUntil = now + leaseNanos;
+                TrackedAttempt<W> entry = shard.get(id);
+                if (entry != null && entry.isLive()) {
+                    entry.leaseEndNanos = now + leaseNanos;
                 }
             }
         }
@@ -157,9 +158,11 @@
 
     /** Extends all leases, after this process itself was paused and could not hear of any renewal. */
     public void renewAll(long now) {
-        for (Map<AttemptId, Entry<W>> shard : shards) {
+        for (Map<AttemptId, TrackedAttempt<W>> shard : shards) {
             synchronized (shard) {
-                shard.values().stream().filter(Entry::live).forEach(entry -> entry.leaseUntil = now + leaseNanos);
+                shard.values().stream()
+                        .filter(TrackedAttempt::isLive)
+                        .forEach(entry -> entry.leaseEndNanos = now + leaseNanos);
             }
         }
     }
@@ -173,17 +176,17 @@
      * Returns the work of waiting and started attempts whose lease has run out. Waiting ones are sealed by this call;
      * started ones must be cancelled by the caller. Each is returned once.
      */
-    public List<W> lapsed(long now) {
+    public List<W> expireLeases(long now) {
         List<W> lapsed = new ArrayList<>();
-        for (Map<AttemptId, Entry<W>> shard : shards) {
+        for (Map<AttemptId, TrackedAttempt<W>> shard : shards) {
             synchronized (shard) {
-                for (Entry<W> entry : shard.values()) {
+                for (TrackedAttempt<W> entry : shard.values()) {
                     W work = entry.work;
-                    if (!entry.live() || entry.leaseUntil - now >= 0 || work == null) {
+                    if (!entry.isLive() || entry.leaseEndNanos - now >= 0 || work == null) {
                         continue;
                     }
                     entry.state = entry.state == State.WAITING ? State.SEALED : State.FINISHED;
-                    entry.changedAt = now;
+                    entry.changedAtNanos = now;
                     lapsed.add(work);
                 }
             }
@@ -194,12 +197,12 @@
     /** Forgets ended attempts and tombstones older than the retention. Returns how many were dropped. */
     public int purge(long now) {
         int dropped = 0;
-        for (Map<AttemptId, Entry<W>> shard : shards) {
+        for (Map<AttemptId, TrackedAttempt<W>> shard : shards) {
             synchronized (shard) {
-                Iterator<Entry<W>> entries = shard.values().iterator();
+                Iterator<TrackedAttempt<W>> entries = shard.values().iterator();
                 while (entries.hasNext()) {
-                    Entry<W> entry = entries.next();
-                    if (!entry.live() && now - entry.changedAt > retentionNanos) {
+                    TrackedAttempt<W> entry = entries.next();
+                    if (!entry.isLive() && now - entry.changedAtNanos > retentionNanos) {
                         entries.remove();
                         dropped++;
                     }
@@ -210,12 +213,12 @@
     }
 
     /** Returns how many attempts wait or run. */
-    public int live() {
+    public int liveCount() {
         int live = 0;
-        for (Map<AttemptId, Entry<W>> shard : shards) {
+        for (Map<AttemptId, TrackedAttempt<W>> shard : shards) {
             synchronized (shard) {
-                for (Entry<W> entry : shard.values()) {
-                    live += entry.live() ? 1 : 0;
+                for (TrackedAttempt<W> entry : shard.values()) {
+                    live += entry.isLive() ? 1 : 0;
                 }
             }
         }
--- a/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueInForce.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueInForce.java
@@ -27,11 +27,11 @@
      * How old the store's word on the newest version may be for this to be known to be it, in nanoseconds: a change must be in force
      * everywhere within 14 seconds, also for a request that is on its way for some time.
      */
-    private static final long KNOWN_NANOS = TimeUnit.SECONDS.toNanos(12);
+    private static final long MAX_CONFIRMATION_AGE_NANOS = TimeUnit.SECONDS.toNanos(12);
 
     private volatile Accepted current = new Accepted(Manifest.none(), Map.of(), Catalogue.empty());
     private boolean everConfirmed;
-    private long confirmedAt;
+    private long confirmedAtNanos;
 
     /** Returns what is in force. */
     public Accepted current() {
@@ -44,19 +44,19 @@
     }
 
     /** Notes that what is in force was the newest at a time, in monotonic nanoseconds. */
-    public synchronized void confirmed(long at) {
+    public synchronized void confirm(long at) {
         everConfirmed = true;
-        confirmedAt = at;
+        confirmedAtNanos = at;
     }
 
     /** Returns whether what is in force is known to be the newest but for changes that needn't be in force yet. */
-    public synchronized boolean known(long now) {
-        return everConfirmed && now - confirmedAt <= KNOWN_NANOS;
+    public synchronized boolean isKnownCurrent(long now) {
+        return everConfirmed && now - confirmedAtNanos <= MAX_CONFIRMATION_AGE_NANOS;
     }
 
     /** Returns how long ago it was known to be the newest, in milliseconds; -1 if it never was. */
     public synchronized long ageMillis(long now) {
-        return everConfirmed ? TimeUnit.NANOSECONDS.toMillis(now - confirmedAt) : -1;
+        return everConfirmed ? TimeUnit.NANOSECONDS.toMillis(now - confirmedAtNanos) : -1;
     }
 
     /** Puts a catalogue in force if it is newer than the current one. Returns whether it was. */
--- a/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueParser.java
+++ b/core/src/main/java/org/quetzalseam/core/catalogue/CatalogueParser.java
@@ -84,14 +84,14 @@
                 entrySections.put(name, section);
             }
             default -> {
-                section.report("", "unknown kind of section" + IniSection.nearest(kind, SECTION_KINDS));
+                section.report("", "unknown kind of section" + IniSection.suggestNearest(kind, SECTION_KINDS));
                 return;
             }
         }
         if (earlier != null) {
             section.report("", "another file has a section of this name");
         }
-        section.refuseUnknownKeys();
+        section.reportUnknownKeys();
     }
 
     private static ModelSpec model(IniSection section, String name) {
@@ -167,13 +167,15 @@
         }
         if (!owners.containsKey(entry.owner())) {
             section.report(
-                    "owner", "no owner '" + entry.owner() + "'" + IniSection.nearest(entry.owner(), owners.keySet()));
+                    "owner",
+                    "no owner '" + entry.owner() + "'" + IniSection.suggestNearest(entry.owner(), owners.keySet()));
         }
         String route = entry.route().name();
         boolean isModel = entry.route().kind() == Kind.MODEL;
         var names = isModel ? models.keySet() : services.keySet();
         if (!route.isEmpty() && !names.contains(route)) {
-            section.report("route", "no such " + (isModel ? "model" : "service") + IniSection.nearest(route, names));
+            section.report(
+                    "route", "no such " + (isModel ? "model" : "service") + IniSection.suggestNearest(route, names));
         }
         if (isModel && !entry.idempotent()) {
             section.report("idempotent", "a model's answers may be generated again: expected true");
--- a/core/src/main/java/org/quetzalseam/core/fleet/EndpointHealth.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/EndpointHealth.java
@@ -8,61 +8,62 @@
  */
 public final class EndpointHealth {
     /** Weight of the newest answer: about the last ten count. */
-    private static final double NEWEST = 0.1;
+    private static final double NEWEST_WEIGHT = 0.1;
     /** Nanoseconds in which an idle endpoint's failure rate halves: two seconds, a typical restart. */
     private static final double HALF_LIFE_NANOS = 2e9;
     /** Assumed time of the first answer, in milliseconds; any small figure does, as it fades within ten answers. */
-    private static final double FIRST_MILLIS = 10;
+    private static final double INITIAL_RESPONSE_MILLIS = 10;
     /** Failure rate from which an endpoint is used only when no better one is there: three failures at once reach it. */
     private static final double SUSPECT_RATE = 0.25;
     /** Failures in a row that make it suspect however far apart they are: time-outs of few requests come seconds apart. */
-    private static final int SUSPECT_IN_A_ROW = 3;
+    private static final int SUSPECT_CONSECUTIVE_FAILURES = 3;
     /** How long after the last of them it is tried again, in nanoseconds: a typical restart. */
-    private static final long TRIED_AGAIN_NANOS = 2_000_000_000L;
+    private static final long RETRY_DELAY_NANOS = 2_000_000_000L;
 
     private double failureRate;
-    private double millis = FIRST_MILLIS;
-    private long updated;
-    private int failuresInARow;
-    private long failedAt;
+    private double responseMillis = INITIAL_RESPONSE_MILLIS;
+    private long updatedNanos;
+    private int consecutiveFailures;
+    private long lastFailureNanos;
 
     /** Notes an answer and how long it took. */
-    public void succeeded(long now, double tookMillis) {
-        fade(now);
-        failuresInARow = 0;
-        failureRate *= 1 - NEWEST;
-        millis += NEWEST * (tookMillis - millis);
+    public void recordSuccess(long now, double tookMillis) {
+        decay(now);
+        consecutiveFailures = 0;
+        failureRate *= 1 - NEWEST_WEIGHT;
+        responseMillis += NEWEST_WEIGHT * (tookMillis - responseMillis);
     }
 
     /** Notes a failure that was the endpoint's. */
-    public void failed(long now) {
-        fade(now);
-        failuresInARow++;
-        failedAt = now;
-        failureRate += NEWEST * (1 - failureRate);
+    public void recordFailure(long now) {
+        decay(now);
+        consecutiveFailures++;
+        lastFailureNanos = now;
+        failureRate += NEWEST_WEIGHT * (1 - failureRate);
     }
 
     /** Returns the share of its latest answers that failed, from 0 to 1. */
     public double failureRate(long now) {
-        fade(now);
+        decay(now);
         return failureRate;
     }
 
     /** Returns whether it fails too often to be used while a better one is there. */
-    public boolean suspect(long now) {
-        boolean silent = failuresInARow >= SUSPECT_IN_A_ROW && now - failedAt < TRIED_AGAIN_NANOS;
+    public boolean isSuspect(long now) {
+        boolean silent =
+                consecutiveFailures >= SUSPECT_CONSECUTIVE_FAILURES && now - lastFailureNanos < RETRY_DELAY_NANOS;
         return silent || failureRate(now) >= SUSPECT_RATE;
     }
 
     /** Returns the typical time to an answer, in milliseconds. */
-    public double millis() {
-        return millis;
+    public double responseMillis() {
+        return responseMillis;
     }
 
-    private void fade(long now) {
-        if (updated != 0 && now > updated) {
-            failureRate *= Math.pow(0.5, (now - updated) / HALF_LIFE_NANOS);
+    private void decay(long now) {
+        if (updatedNanos != 0 && now > updatedNanos) {
+            failureRate *= Math.pow(0.5, (now - updatedNanos) / HALF_LIFE_NANOS);
         }
-        updated = now;
+        updatedNanos = now;
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/fleet/Member.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/Member.java
@@ -10,7 +10,7 @@
  * @param port its port
  * @param zone its availability zone
  * @param slots how many requests it runs at once
- * @param leaving whether it has said that it leaves
+ * @param draining whether it has said that it leaves
  * @param stage the part of a generation that it takes
  */
 public record Member(
@@ -21,7 +21,7 @@
         int port,
         String zone,
         int slots,
-        boolean leaving,
+        boolean draining,
         Stage stage) {
     /** Returns which life of the endpoint this speaks of. */
     public Incarnation incarnation() {
@@ -29,8 +29,8 @@
     }
 
     /** Returns the same endpoint, started again. */
-    public Member startedAgain(long atMillis) {
-        return new Member(id, atMillis, service, host, port, zone, slots, leaving, stage);
+    public Member restartedAt(long atMillis) {
+        return new Member(id, atMillis, service, host, port, zone, slots, draining, stage);
     }
 
     /** Returns its address as {@code host:port}. */
--- a/core/src/main/java/org/quetzalseam/core/fleet/MemberTable.java
+++ b/core/src/main/java/org/quetzalseam/core/fleet/MemberTable.java
@@ -21,8 +21,8 @@
 public final class MemberTable {
     private final long graceNanos;
     private final Map<String, Member> members = new HashMap<>();
-    private final Map<String, Long> missingUntil = new HashMap<>();
-    private boolean startsStated;
+    private final Map<String, Long> graceEndNanos = new HashMap<>();
+    private boolean startsRequired;
 
     /** Creates an empty table that keeps lapsed registrations for the given time, in nanoseconds. */
     public MemberTable(long graceNanos) {
@@ -40,41 +40,41 @@
         Set<String> ids = new HashSet<>();
         for (Member member : listed) {
             ids.add(member.id());
-            store(member);
+            putUnlessOlder(member);
         }
         for (String id : List.copyOf(members.keySet())) {
             if (!ids.contains(id)) {
                 remove(id, now, storeWasAway);
             }
         }
-        noteWhetherStartsAreStated();
+        updateStartsRequired();
     }
 
     /** Adds or renews a member. What speaks of an earlier life than the one known came late, and changes nothing. */
     public void put(Member member) {
-        store(member);
-        noteWhetherStartsAreStated();
+        putUnlessOlder(member);
+        updateStartsRequired();
     }
 
-    private void store(Member member) {
+    private void putUnlessOlder(Member member) {
         Member known = members.get(member.id());
         boolean late = known != null
-                && member.incarnation().stated()
-                && member.incarnation().endedBefore(known.incarnation());
+                && member.incarnation().hasStart()
+                && member.incarnation().precedes(known.incarnation());
         if (!late) {
             members.put(member.id(), member);
-            missingUntil.remove(member.id());
+            graceEndNanos.remove(member.id());
         }
     }
 
     /** A single registration must not decide it: it may be the other writer's. */
-    private void noteWhetherStartsAreStated() {
-        long stated = members.values().stream().filter(MemberTable::statesStart).count();
-        startsStated |= stated > 0 && 2 * stated >= members.size();
+    private void updateStartsRequired() {
+        long stated = members.values().stream().filter(MemberTable::hasStart).count();
+        startsRequired |= stated > 0 && 2 * stated >= members.size();
     }
 
-    private static boolean statesStart(Member member) {
-        return member.incarnation().stated();
+    private static boolean hasStart(Member member) {
+        return member.incarnation().hasStart();
     }
 
     /** Notes that a member is no longer listed. A member that had said that it leaves is gone at once. */
@@ -83,8 +83,8 @@
         if (member == null) {
             return;
         }
-        if (storeWasAway && !member.leaving()) {
-            missingUntil.putIfAbsent(id, now + graceNanos);
+        if (storeWasAway && !member.draining()) {
+            graceEndNanos.putIfAbsent(id, now + graceNanos);
             return;
         }
         forget(id);
@@ -93,7 +93,7 @@
     /** Drops what is still missing after its grace time. Returns the ids dropped. */
     public List<String> expire(long now) {
         List<String> dropped = new ArrayList<>();
-        missingUntil.forEach((id, until) -> {
+        graceEndNanos.forEach((id, until) -> {
             if (now - until >= 0) {
                 dropped.add(id);
             }
@@ -104,13 +104,13 @@
 
     private void forget(String id) {
         members.remove(id);
-        missingUntil.remove(id);
+        graceEndNanos.remove(id);
     }
 
     /** Returns all members that name an endpoint, those that leave and those that are missing included. */
     public Collection<Member> all() {
         return members.values().stream()
-                .filter(member -> !startsStated || statesStart(member))
+                .filter(member -> !startsRequired || hasStart(member))
                 .toList();
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
@@ -45,7 +45,7 @@
 
     /** Notes the record as read or written. */
     public void seen(String recordHolder, long recordEpoch, StorePosition recordPosition, long now) {
-        if (!position.before(recordPosition)) {
+        if (!position.isBefore(recordPosition)) {
             return;
         }
         holder = recordHolder;
--- a/core/src/main/java/org/quetzalseam/core/ini/IniSection.java
+++ b/core/src/main/java/org/quetzalseam/core/ini/IniSection.java
@@ -20,7 +20,7 @@
     private final IniDocument document;
     private final String name;
     private final SubnodeConfiguration values;
-    private final Set<String> known = new TreeSet<>();
+    private final Set<String> requestedKeys = new TreeSet<>();
 
     IniSection(IniDocument document, String name, SubnodeConfiguration values) {
         this.document = document;
@@ -44,7 +44,7 @@
     }
 
     private @Nullable String raw(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         List<Object> all = values.getList(key, List.of());
         if (all.size() > 1) {
             report(key, "given " + all.size() + " times, expected once");
@@ -143,33 +143,33 @@
         }
         T[] constants = fallback.getDeclaringClass().getEnumConstants();
         for (T constant : constants) {
-            if (spelled(constant).equals(value)) {
+            if (settingName(constant).equals(value)) {
                 return constant;
             }
         }
         String expected = String.join(
-                ", ", Arrays.stream(constants).map(IniSection::spelled).toList());
+                ", ", Arrays.stream(constants).map(IniSection::settingName).toList());
         report(key, "expected one of " + expected + ", got '" + value + "'");
         return fallback;
     }
 
-    private static String spelled(Enum<?> constant) {
+    private static String settingName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** Reports every key that no accessor has asked for, with the nearest known name. Call it last. */
-    public void refuseUnknownKeys() {
+    public void reportUnknownKeys() {
         Iterator<String> keys = values.getKeys();
         while (keys.hasNext()) {
             String key = keys.next().replace("..", ".");
-            if (!known.contains(key)) {
-                report(key, "unknown key" + nearest(key, known));
+            if (!requestedKeys.contains(key)) {
+                report(key, "unknown key" + suggestNearest(key, requestedKeys));
             }
         }
     }
 
     /** Returns a hint such as {@code ", did you mean 'class'?"} with the nearest of the known names. */
-    public static String nearest(String name, Iterable<String> names) {
+    public static String suggestNearest(String name, Iterable<String> names) {
         String best = null;
         int distance = Integer.MAX_VALUE;
         for (String candidate : names) {
--- a/core/src/main/java/org/quetzalseam/core/keyed/KeyTable.java
+++ b/core/src/main/java/org/quetzalseam/core/keyed/KeyTable.java
@@ -31,7 +31,7 @@
         FENCED
     }
 
-    private static final class Entry<A> {
+    private static final class KeyRecord<A> {
         final String fingerprint;
         final List<Consumer<A>> listeners = new ArrayList<>();
 
@@ -39,16 +39,16 @@
         A answer;
 
         boolean fenced;
-        long changedAt;
+        long changedAtNanos;
 
-        Entry(String fingerprint, long changedAt) {
+        KeyRecord(String fingerprint, long changedAt) {
             this.fingerprint = fingerprint;
-            this.changedAt = changedAt;
+            this.changedAtNanos = changedAt;
         }
     }
 
     private final long retentionNanos;
-    private final Map<String, Entry<A>> entries = new HashMap<>();
+    private final Map<String, KeyRecord<A>> records = new HashMap<>();
 
     /** Creates an empty table that remembers a key for {@code retentionNanos} after its last change. */
     public KeyTable(long retentionNanos) {
@@ -69,9 +69,9 @@
     public Claim claim(String key, String fingerprint, Consumer<A> listener, long now) {
         A answer;
         synchronized (this) {
-            Entry<A> entry = entries.get(key);
+            KeyRecord<A> entry = records.get(key);
             if (entry == null) {
-                entries.put(key, new Entry<>(fingerprint, now));
+                records.put(key, new KeyRecord<>(fingerprint, now));
                 return Claim.OWNED;
             }
             if (entry.fenced) {
@@ -91,39 +91,39 @@
     }
 
     /** Returns whether the key is known here, so that no other process need be asked about it. */
-    public synchronized boolean known(String key) {
-        return entries.containsKey(key);
+    public synchronized boolean isKnown(String key) {
+        return records.containsKey(key);
     }
 
     /** Returns the keys that were claimed or barred here and are not yet forgotten. */
-    public synchronized List<String> remembered() {
-        return List.copyOf(entries.keySet());
+    public synchronized List<String> retainedKeys() {
+        return List.copyOf(records.keySet());
     }
 
     /** Keeps the answer of a claimed key and hands it to every request that waits for it. */
     public void finish(String key, A answer, long now) {
-        settle(key, answer, true, now);
+        complete(key, answer, true, now);
     }
 
     /** Forgets a claimed key whose request was proved not to have run; those that wait receive {@code answer}. */
     public void release(String key, A answer, long now) {
-        settle(key, answer, false, now);
+        complete(key, answer, false, now);
     }
 
-    private void settle(String key, A answer, boolean keep, long now) {
+    private void complete(String key, A answer, boolean keep, long now) {
         List<Consumer<A>> waiting;
         synchronized (this) {
-            Entry<A> entry = entries.get(key);
+            KeyRecord<A> entry = records.get(key);
             if (entry == null) {
                 return;
             }
             waiting = List.copyOf(entry.listeners);
             entry.listeners.clear();
-            entry.changedAt = now;
+            entry.changedAtNanos = now;
             if (keep) {
                 entry.answer = answer;
             } else if (!entry.fenced) {
-                entries.remove(key);
+                records.remove(key);
             }
         }
         waiting.forEach(listener -> listener.accept(answer));
@@ -134,11 +134,11 @@
      * claimed here, false when it was: then it may have run, and the new holder must not run it.
      */
     public synchronized boolean fence(String key, long now) {
-        Entry<A> entry = entries.get(key);
+        KeyRecord<A> entry = records.get(key);
         if (entry == null) {
-            Entry<A> tombstone = new Entry<>("", now);
+            KeyRecord<A> tombstone = new KeyRecord<>("", now);
             tombstone.fenced = true;
-            entries.put(key, tombstone);
+            records.put(key, tombstone);
             return true;
         }
         return entry.fenced;
@@ -146,14 +146,15 @@
 
     /** Forgets settled keys older than the retention. Returns how many were dropped. */
     public synchronized int purge(long now) {
-        int before = entries.size();
-        entries.values()
-                .removeIf(entry -> (entry.fenced || entry.answer != null) && now - entry.changedAt > retentionNanos);
-        return before - entries.size();
+        int before = records.size();
+        records.values()
+                .removeIf(
+                        entry -> (entry.fenced || entry.answer != null) && now - entry.changedAtNanos > retentionNanos);
+        return before - records.size();
     }
 
     /** Returns how many keys are remembered. */
     public synchronized int size() {
-        return entries.size();
+        return records.size();
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/keyed/KeyAge.java
+++ b/core/src/main/java/org/quetzalseam/core/keyed/KeyTimestamp.java
@@ -7,18 +7,18 @@
  * Tells when an idempotency key was made, if it is a UUID of version 7, whose first 48 bits are the milliseconds of the
  * epoch (RFC 9562). Stateless.
  */
-public final class KeyAge {
+public final class KeyTimestamp {
     private static final Pattern VERSION_7 =
             Pattern.compile("[0-9a-fA-F]{8}-[0-9a-fA-F]{4}-7[0-9a-fA-F]{3}-[89abAB][0-9a-fA-F]{3}-[0-9a-fA-F]{12}");
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
-    private KeyAge() {}
+    private KeyTimestamp() {}
 
     /** Returns when the key was made, in milliseconds of the epoch, if the key tells. */
     public static OptionalLong mintedAtMillis(String key) {
         if (!VERSION_7.matcher(key).matches()) {
             return OptionalLong.empty();
         }
-        return OptionalLong.of(Long.parseLong(key.substring(0, 8) + key.substring(9, 13), HEX));
+        return OptionalLong.of(Long.parseLong(key.substring(0, 8) + key.substring(9, 13), HEX_RADIX));
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/routing/RouteRule.java
+++ b/core/src/main/java/org/quetzalseam/core/routing/RouteRule.java
@@ -12,9 +12,9 @@
  * @param shares the services that take its requests, at least one
  * @param maxAttempts the most endpoints that may run one request
  * @param timeoutMillis how long a caller may be kept waiting for the end of an answer
- * @param targetMillis latency objective: to the whole answer, or to a stream's first event
- * @param pauseMillis latency objective of a stream's further events: the longest pause; 0 where there is none
- * @param silenceMillis how long a stream's caller stays without an event, also without the first
+ * @param targetLatencyMillis latency objective: to the whole answer, or to a stream's first event
+ * @param targetGapMillis latency objective of a stream's further events: the longest pause; 0 where there is none
+ * @param idleTimeoutMillis how long a stream's caller stays without an event, also without the first
  * @param priority rank, 0 is the most urgent
  * @param resumable whether a stream can go on at another endpoint
  */
@@ -26,9 +26,9 @@
         List<ServiceShare> shares,
         int maxAttempts,
         long timeoutMillis,
-        long targetMillis,
-        long pauseMillis,
-        long silenceMillis,
+        long targetLatencyMillis,
+        long targetGapMillis,
+        long idleTimeoutMillis,
         int priority,
         boolean resumable) {
     /** Creates a route and checks that it leads somewhere. */
--- a/core/src/main/java/org/quetzalseam/core/routing/RouteTable.java
+++ b/core/src/main/java/org/quetzalseam/core/routing/RouteTable.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns the number of routes. */
-    public int routes() {
+    public int routeCount() {
         return byHost.values().stream().mapToInt(Map::size).sum();
     }
 
--- a/core/src/main/java/org/quetzalseam/core/store/StorePosition.java
+++ b/core/src/main/java/org/quetzalseam/core/store/StorePosition.java
@@ -35,13 +35,13 @@
     }
 
     /** Returns whether this position is before another. */
-    public boolean before(StorePosition other) {
+    public boolean isBefore(StorePosition other) {
         return compareTo(other) < 0;
     }
 
     /** Returns the later of two positions. */
     public static StorePosition later(StorePosition one, StorePosition other) {
-        return one.before(other) ? other : one;
+        return one.isBefore(other) ? other : one;
     }
 
     @Override
--- a/core/src/test/java/org/quetzalseam/core/admission/SlotLedgerTest.java
+++ b/core/src/test/java/org/quetzalseam/core/admission/SlotLedgerTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void aPlaceIsGivenBackOnce() {
+    void aSlotIsReleasedOnce() {
         SlotLedger ledger = new SlotLedger(2, 0);
         assertThat(ledger.book(id(1), WorkClass.LONG, 0)).isTrue();
         assertThat(ledger.book(id(1), WorkClass.LONG, 0)).isFalse();
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void longWorkCannotTakeThePlacesReservedForShortWork() {
+    void longWorkCannotBookTheSlotsReservedForShortWork() {
         SlotLedger ledger = new SlotLedger(3, 1);
         ledger.book(id(1), WorkClass.LONG, 0);
         ledger.book(id(2), WorkClass.LONG, 0);
@@ -37,7 +37,7 @@
     }
 
     @Property(seed = "42", tries = 200)
-    void whateverTheOrderOfBookingAndReleasingTheCountIsRight(
+    void theFreeCountIsRightForAnyOrderOfBookingAndReleasing(
             @ForAll @Size(max = 60) List<@IntRange(min = -8, max = 8) Integer> steps) {
         SlotLedger ledger = new SlotLedger(4, 1);
         Set<Integer> held = new HashSet<>();
--- a/core/src/test/java/org/quetzalseam/core/admission/WorkQueueTest.java
+++ b/core/src/test/java/org/quetzalseam/core/admission/WorkQueueTest.java
@@ -12,13 +12,14 @@
     private final WorkQueue queue = WorkQueue.fair();
     private long counter;
 
-    private Ticket ticket(String owner, WorkClass workClass, int weight, long cost) {
-        return new Ticket(new AttemptId(1, ++counter, 1), owner, owner + "-entry", workClass, weight, cost, 1000);
+    private QueuedAttempt attempt(String owner, WorkClass workClass, int weight, long cost) {
+        return new QueuedAttempt(
+                new AttemptId(1, ++counter, 1), owner, owner + "-entry", workClass, weight, cost, 1000);
     }
 
-    private List<String> order() {
+    private List<String> pollOwners() {
         List<String> owners = new ArrayList<>();
-        Optional<Ticket> next = queue.poll(ticket -> true);
+        Optional<QueuedAttempt> next = queue.poll(ticket -> true);
         while (next.isPresent()) {
             owners.add(next.get().owner());
             next = queue.poll(ticket -> true);
@@ -27,44 +28,44 @@
     }
 
     @Test
-    void ownersOfEqualWeightAreServedInTurnHoweverManyTheySend() {
+    void ownersOfEqualWeightAreServedInTurnHoweverManyRequestsTheySend() {
         for (int i = 0; i < 6; i++) {
-            queue.add(ticket("flood", WorkClass.LONG, 1, 10));
+            queue.add(attempt("flood", WorkClass.LONG, 1, 10));
         }
-        queue.add(ticket("quiet", WorkClass.LONG, 1, 10));
-        assertThat(order().indexOf("quiet")).isLessThanOrEqualTo(1);
+        queue.add(attempt("quiet", WorkClass.LONG, 1, 10));
+        assertThat(pollOwners().indexOf("quiet")).isLessThanOrEqualTo(1);
     }
 
     @Test
     void anOwnerOfTwiceTheWeightIsServedTwiceAsOften() {
         for (int i = 0; i < 6; i++) {
-            queue.add(ticket("heavy", WorkClass.LONG, 2, 10));
-            queue.add(ticket("light", WorkClass.LONG, 1, 10));
+            queue.add(attempt("heavy", WorkClass.LONG, 2, 10));
+            queue.add(attempt("light", WorkClass.LONG, 1, 10));
         }
-        assertThat(order().subList(0, 6)).filteredOn("heavy"::equals).hasSize(4);
+        assertThat(pollOwners().subList(0, 6)).filteredOn("heavy"::equals).hasSize(4);
     }
 
     @Test
     void shortWorkGoesBeforeLongWork() {
-        queue.add(ticket("a", WorkClass.LONG, 1, 1));
-        queue.add(ticket("b", WorkClass.SHORT, 1, 1));
-        assertThat(order()).containsExactly("b", "a");
+        queue.add(attempt("a", WorkClass.LONG, 1, 1));
+        queue.add(attempt("b", WorkClass.SHORT, 1, 1));
+        assertThat(pollOwners()).containsExactly("b", "a");
     }
 
     @Test
     void longWorkIsNotStarvedByShortWork() {
-        queue.add(ticket("long", WorkClass.LONG, 1, 1));
-        for (int i = 0; i < 3 * FairQueue.SHORT_RUN; i++) {
-            queue.add(ticket("short", WorkClass.SHORT, 1, 1));
+        queue.add(attempt("long", WorkClass.LONG, 1, 1));
+        for (int i = 0; i < 3 * FairQueue.MAX_CONSECUTIVE_SHORT; i++) {
+            queue.add(attempt("short", WorkClass.SHORT, 1, 1));
         }
-        assertThat(order().indexOf("long")).isEqualTo(FairQueue.SHORT_RUN);
+        assertThat(pollOwners().indexOf("long")).isEqualTo(FairQueue.MAX_CONSECUTIVE_SHORT);
     }
 
     @Test
     void requestsOfOneOwnerAndClassKeepTheirOrder() {
         List<AttemptId> sent = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            Ticket ticket = ticket("a", WorkClass.LONG, 1, 10 - i);
+            QueuedAttempt ticket = attempt("a", WorkClass.LONG, 1, 10 - i);
             sent.add(ticket.id());
             queue.add(ticket);
         }
@@ -76,20 +77,20 @@
     }
 
     @Test
-    void whatCannotStartDoesNotHoldUpOtherClasses() {
-        queue.add(ticket("a", WorkClass.SHORT, 1, 1));
-        queue.add(ticket("b", WorkClass.LONG, 1, 1));
+    void anAttemptThatCannotStartDoesNotBlockOtherClasses() {
+        queue.add(attempt("a", WorkClass.SHORT, 1, 1));
+        queue.add(attempt("b", WorkClass.LONG, 1, 1));
         assertThat(queue.poll(ticket -> ticket.workClass() == WorkClass.LONG))
                 .get()
-                .extracting(Ticket::owner)
+                .extracting(QueuedAttempt::owner)
                 .isEqualTo("b");
     }
 
     @Test
-    void removedAndExpiredTicketsLeaveNothingBehind() {
-        Ticket removed = ticket("a", WorkClass.SHORT, 1, 5);
+    void removedAndExpiredAttemptsAreNoLongerCounted() {
+        QueuedAttempt removed = attempt("a", WorkClass.SHORT, 1, 5);
         queue.add(removed);
-        queue.add(ticket("a", WorkClass.LONG, 1, 7));
+        queue.add(attempt("a", WorkClass.LONG, 1, 7));
         assertThat(queue.remove(removed.id())).isTrue();
         assertThat(queue.remove(removed.id())).isFalse();
         assertThat(queue.expire(1001)).hasSize(1);
@@ -101,9 +102,12 @@
     @Test
     void theBaselineServesInOrderOfArrival() {
         WorkQueue fifo = WorkQueue.fifo();
-        fifo.add(ticket("a", WorkClass.LONG, 1, 1));
-        fifo.add(ticket("b", WorkClass.SHORT, 1, 1));
+        fifo.add(attempt("a", WorkClass.LONG, 1, 1));
+        fifo.add(attempt("b", WorkClass.SHORT, 1, 1));
         assertThat(fifo.poll(ticket -> ticket.workClass() == WorkClass.SHORT)).isEmpty();
-        assertThat(fifo.poll(ticket -> true)).get().extracting(Ticket::owner).isEqualTo("a");
+        assertThat(fifo.poll(ticket -> true))
+                .get()
+                .extracting(QueuedAttempt::owner)
+                .isEqualTo("a");
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/attempt/AttemptTableTest.java
+++ b/core/src/test/java/org/quetzalseam/core/attempt/AttemptTableTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void sealingTellsOfAnAttemptThatHasStartedOrEnded() {
+    void sealingReportsWhetherAnAttemptHasStartedOrEnded() {
         table.offer(ID, "work", 0);
         table.start(ID, 1);
         assertThat(table.seal(ID, 2)).isEqualTo(SealResult.STARTED);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aStartThatArrivesTwiceStartsOnce() {
+    void anAttemptOfferedAndStartedTwiceStartsOnce() {
         assertThat(table.offer(ID, "work", 0)).isTrue();
         assertThat(table.offer(ID, "work again", 0)).isFalse();
         assertThat(table.start(ID, 1)).isTrue();
@@ -43,37 +43,37 @@
     }
 
     @Test
-    void anAttemptWhoseLeaseRanOutDoesNotStart() {
+    void anAttemptWhoseLeaseHasExpiredDoesNotStart() {
         table.offer(ID, "work", 0);
         assertThat(table.start(ID, LEASE + 1)).isFalse();
     }
 
     @Test
-    void aLapsedAttemptIsReturnedOnceAndNeverStarts() {
+    void anExpiredAttemptIsReturnedOnceAndNeverStarts() {
         table.offer(ID, "work", 0);
-        assertThat(table.lapsed(LEASE + 1)).containsExactly("work");
-        assertThat(table.lapsed(LEASE + 2)).isEmpty();
+        assertThat(table.expireLeases(LEASE + 1)).containsExactly("work");
+        assertThat(table.expireLeases(LEASE + 2)).isEmpty();
         table.renew(List.of(ID), LEASE + 3);
         assertThat(table.start(ID, LEASE + 4)).isFalse();
     }
 
     @Test
-    void renewingKeepsAnAttemptAlive() {
+    void aRenewedAttemptDoesNotExpire() {
         table.offer(ID, "work", 0);
         table.renew(List.of(ID), LEASE);
-        assertThat(table.lapsed(LEASE + 1)).isEmpty();
+        assertThat(table.expireLeases(LEASE + 1)).isEmpty();
         assertThat(table.start(ID, LEASE + 2)).isTrue();
     }
 
     @Test
-    void leasesDoNotLapseBecauseTheGrantingProcessWasPaused() {
+    void leasesDoNotExpireBecauseTheGrantingProcessWasPaused() {
         table.offer(ID, "work", 0);
         table.renewAll(5 * LEASE);
-        assertThat(table.lapsed(6 * LEASE)).isEmpty();
+        assertThat(table.expireLeases(6 * LEASE)).isEmpty();
     }
 
     @Test
-    void endedAttemptsAreForgottenOnlyAfterTheRetention() {
+    void endedAttemptsArePurgedOnlyAfterTheRetention() {
         table.offer(ID, "work", 0);
         table.start(ID, 1);
         table.finish(ID, 2);
--- a/core/src/test/java/org/quetzalseam/core/catalogue/CatalogueInForceTest.java
+++ b/core/src/test/java/org/quetzalseam/core/catalogue/CatalogueInForceTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void aCallerWhoComesBeforeTheCatalogueIsKeptUntilItIsThere() {
+    void aCallerWaitsUntilACatalogueIsInForce() {
         CatalogueInForce inForce = new CatalogueInForce();
         CompletableFuture<Boolean> early = CompletableFuture.supplyAsync(() -> inForce.awaitFirst(LONG));
         assertThat(early).isNotDone();
@@ -24,12 +24,12 @@
     }
 
     @Test
-    void aCallerIsNotKeptForeverWhenThereIsNoCatalogue() {
+    void theWaitForACatalogueTimesOut() {
         assertThat(new CatalogueInForce().awaitFirst(Duration.ofMillis(5))).isFalse();
     }
 
     @Test
-    void anOlderVersionIsNeverTaken() {
+    void anOlderVersionIsNeverAccepted() {
         CatalogueInForce inForce = new CatalogueInForce();
         inForce.offer(version(7));
         assertThat(inForce.offer(version(6))).isFalse();
--- a/core/src/test/java/org/quetzalseam/core/catalogue/CatalogueParserTest.java
+++ b/core/src/test/java/org/quetzalseam/core/catalogue/CatalogueParserTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aSoundCatalogueIsReadWithItsDefaults() {
+    void aValidCatalogueIsReadWithItsDefaults() {
         Parsed parsed = parse(SITE + ENTRY);
         assertThat(parsed.problems()).isEmpty();
         EntrySpec entry = parsed.catalogue().modelEntry("o", "m", 1).orElseThrow();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void everyProblemIsFoundAtOnceWithItsPlaceAndWhatWasExpected() {
+    void everyProblemIsReportedAtOnceWithItsLocationAndWhatWasExpected() {
         Parsed parsed = parse(SITE + ENTRY.replace("owner = o", "owner = oo").replace("long", "slow") + "clas = x\n");
         assertThat(parsed.problems())
                 .extracting(Problem::toString)
@@ -79,7 +79,7 @@
     }
 
     @Property(seed = "7", tries = 300)
-    void noTextMakesTheParserFail(@ForAll String text) {
+    void theParserNeverThrowsForAnyText(@ForAll String text) {
         assertThat(parse("[entry x]\n" + text).problems()).isNotNull();
     }
 
--- a/core/src/test/java/org/quetzalseam/core/fleet/EndpointHealthTest.java
+++ b/core/src/test/java/org/quetzalseam/core/fleet/EndpointHealthTest.java
@@ -10,52 +10,52 @@
     private final EndpointHealth health = new EndpointHealth();
 
     @Test
-    void threeFailuresInARowMakeItSuspect() {
-        health.failed(1);
-        health.failed(2);
-        assertThat(health.suspect(3)).isFalse();
-        health.failed(3);
-        assertThat(health.suspect(4)).isTrue();
+    void threeConsecutiveFailuresMakeAnEndpointSuspect() {
+        health.recordFailure(1);
+        health.recordFailure(2);
+        assertThat(health.isSuspect(3)).isFalse();
+        health.recordFailure(3);
+        assertThat(health.isSuspect(4)).isTrue();
     }
 
     @Test
-    void anEndpointThatFailsTwoInFiveIsFoundOutThoughItAlsoAnswers() {
+    void anEndpointThatFailsTwoRequestsInFiveBecomesSuspect() {
         boolean found = false;
         for (int i = 0; i < 50; i++) {
             if (i % 5 < 2) {
-                health.failed(i);
+                health.recordFailure(i);
             } else {
-                health.succeeded(i, 10);
+                health.recordSuccess(i, 10);
             }
-            found |= health.suspect(i);
+            found |= health.isSuspect(i);
         }
         assertThat(found).isTrue();
     }
 
     @Test
-    void itIsTriedAgainAfterSomeSecondsWithoutAProbe() {
+    void aSuspectEndpointIsUsedAgainAfterSomeSecondsWithoutAProbe() {
         for (int i = 1; i <= 5; i++) {
-            health.failed(i);
+            health.recordFailure(i);
         }
-        assertThat(health.suspect(6)).isTrue();
-        assertThat(health.suspect(6 * SECOND)).isFalse();
+        assertThat(health.isSuspect(6)).isTrue();
+        assertThat(health.isSuspect(6 * SECOND)).isFalse();
     }
 
     @Test
-    void threeTimeOutsInARowMakeItSuspectThoughSecondsLieBetween() {
-        health.failed(3 * SECOND);
-        health.failed(6 * SECOND);
-        health.failed(9 * SECOND);
-        assertThat(health.suspect(10 * SECOND)).isTrue();
-        assertThat(health.suspect(12 * SECOND)).isFalse();
+    void threeConsecutiveTimeoutsSecondsApartMakeAnEndpointSuspect() {
+        health.recordFailure(3 * SECOND);
+        health.recordFailure(6 * SECOND);
+        health.recordFailure(9 * SECOND);
+        assertThat(health.isSuspect(10 * SECOND)).isTrue();
+        assertThat(health.isSuspect(12 * SECOND)).isFalse();
     }
 
     @Test
-    void anAnswerBetweenTimeOutsClearsIt() {
-        health.failed(3 * SECOND);
-        health.failed(6 * SECOND);
-        health.succeeded(7 * SECOND, 10);
-        health.failed(9 * SECOND);
-        assertThat(health.suspect(10 * SECOND)).isFalse();
+    void anAnswerBetweenTimeoutsResetsTheCount() {
+        health.recordFailure(3 * SECOND);
+        health.recordFailure(6 * SECOND);
+        health.recordSuccess(7 * SECOND, 10);
+        health.recordFailure(9 * SECOND);
+        assertThat(health.isSuspect(10 * SECOND)).isFalse();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/fleet/MemberTableTest.java
+++ b/core/src/test/java/org/quetzalseam/core/fleet/MemberTableTest.java
@@ -19,21 +19,21 @@
     }
 
     @Test
-    void aChangeFromAnOlderStartDoesNotReplaceANewerOne() {
+    void aChangeOfAPreviousIncarnationDoesNotReplaceTheNewerOne() {
         table.put(member("a", 2, false));
         table.put(member("a", 1, true));
         assertThat(table.all()).containsExactly(member("a", 2, false));
     }
 
     @Test
-    void aLateListingOfAnOlderStartKeepsTheNewerOne() {
+    void aLateListingOfAPreviousIncarnationKeepsTheNewerOne() {
         table.put(member("a", 2, false));
         table.replaceAll(List.of(member("a", 1, false)), 0, false);
         assertThat(table.all()).containsExactly(member("a", 2, false));
     }
 
     @Test
-    void anOlderStartDoesNotRenewARegistrationThatLapsed() {
+    void aPreviousIncarnationDoesNotRenewALapsedRegistration() {
         table.put(member("a", 2, false));
         table.remove("a", 0, true);
         table.put(member("a", 1, false));
@@ -41,35 +41,35 @@
     }
 
     @Test
-    void endpointsOfAPlatformThatStatesNoStartsAreUsed() {
-        table.replaceAll(List.of(member("a", Incarnation.UNSTATED, false)), 0, false);
+    void endpointsOfAPlatformWithoutStartTimesAreUsed() {
+        table.replaceAll(List.of(member("a", Incarnation.UNKNOWN_START, false)), 0, false);
         assertThat(table.all()).extracting(Member::id).containsExactly("a");
     }
 
     @Test
-    void whereOneEndpointStatesItsStartARegistrationWithoutOneNamesNoEndpoint() {
-        Member other = member("x", Incarnation.UNSTATED, false);
+    void aRegistrationWithoutStartTimeIsIgnoredWhereHalfOfTheRegistrationsHaveOne() {
+        Member other = member("x", Incarnation.UNKNOWN_START, false);
         table.replaceAll(List.of(other, member("a", 5, false)), 0, false);
         table.put(other);
         assertThat(table.all()).extracting(Member::id).containsExactly("a");
     }
 
     @Test
-    void aRegistrationThatLosesItsStartNamesNoEndpointAnyMore() {
+    void aRegistrationThatLosesItsStartTimeIsIgnored() {
         table.put(member("a", 5, false));
         table.put(member("b", 5, false));
-        table.put(member("a", Incarnation.UNSTATED, false));
+        table.put(member("a", Incarnation.UNKNOWN_START, false));
         assertThat(table.all()).containsExactly(member("b", 5, false));
         table.put(member("a", 5, false));
         assertThat(table.all()).hasSize(2);
     }
 
     @Test
-    void oneRegistrationOfAnotherWriterThatStatesAStartTakesNoEndpointAway() {
+    void aSingleRegistrationWithAStartTimeDoesNotHideThoseWithout() {
         table.replaceAll(
                 List.of(
-                        member("a", Incarnation.UNSTATED, false),
-                        member("b", Incarnation.UNSTATED, false),
+                        member("a", Incarnation.UNKNOWN_START, false),
+                        member("b", Incarnation.UNKNOWN_START, false),
                         member("x", 7, false)),
                 0,
                 false);
@@ -77,21 +77,21 @@
     }
 
     @Test
-    void anEndpointThatWasLeavingIsReadyAfterItsRestart() {
+    void anEndpointThatWasDrainingIsReadyAfterItsRestart() {
         table.put(member("a", 1, true));
         table.put(member("a", 2, false));
         assertThat(table.all()).containsExactly(member("a", 2, false));
     }
 
     @Test
-    void whatIsMissingInAListingIsGoneAtOnce() {
+    void aMemberMissingInAListingIsRemovedAtOnce() {
         table.replaceAll(List.of(member("a", false), member("b", false)), 0, false);
         table.replaceAll(List.of(member("b", false)), 1, false);
         assertThat(table.all()).extracting(Member::id).containsExactly("b");
     }
 
     @Test
-    void whatLapsedWhileTheStoreWasAwayIsKeptForItsGrace() {
+    void aRegistrationThatLapsedDuringAStoreOutageIsKeptForTheGracePeriod() {
         table.put(member("a", false));
         table.remove("a", 0, true);
         assertThat(table.expire(GRACE - 1)).isEmpty();
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void whatRegistersAgainInTimeStays() {
+    void aMemberThatRegistersAgainWithinTheGracePeriodStays() {
         table.put(member("a", false));
         table.remove("a", 0, true);
         table.put(member("a", false));
@@ -110,14 +110,14 @@
     }
 
     @Test
-    void whatHadSaidThatItLeavesIsGoneAtOnceInAnyCase() {
+    void aDrainingMemberIsRemovedAtOnceEvenAfterAStoreOutage() {
         table.put(member("a", true));
         table.remove("a", 0, true);
         assertThat(table.all()).isEmpty();
     }
 
     @Test
-    void aSecondListingDoesNotProlongTheGrace() {
+    void aSecondListingDoesNotExtendTheGracePeriod() {
         table.put(member("a", false));
         table.replaceAll(List.of(), 0, true);
         table.replaceAll(List.of(), GRACE - 1, true);
--- a/core/src/test/java/org/quetzalseam/core/generation/OrderEpochTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/OrderEpochTest.java
@@ -19,7 +19,7 @@
             @ForAll @LongRange(min = 0, max = MAX_REVISION) long otherRevision) {
         StorePosition one = new StorePosition(era, revision);
         StorePosition other = new StorePosition(otherEra, otherRevision);
-        assertThat(OrderEpoch.after(one) < OrderEpoch.after(other)).isEqualTo(one.before(other));
+        assertThat(OrderEpoch.after(one) < OrderEpoch.after(other)).isEqualTo(one.isBefore(other));
         assertThat(OrderEpoch.after(one)).isLessThanOrEqualTo(OrderEpoch.MAX);
         assertThat(OrderEpoch.era(OrderEpoch.after(one))).isEqualTo(era);
     }
--- a/core/src/test/java/org/quetzalseam/core/keyed/KeyTableTest.java
+++ b/core/src/test/java/org/quetzalseam/core/keyed/KeyTableTest.java
@@ -9,19 +9,19 @@
 
 class KeyTableTest {
     private final KeyTable<String> keys = new KeyTable<>(100);
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> answers = new ArrayList<>();
 
     private Claim claim(String key, String fingerprint) {
-        return keys.claim(key, fingerprint, heard::add, 0);
+        return keys.claim(key, fingerprint, answers::add, 0);
     }
 
     @Test
     void aSecondRequestWithTheKeyWaitsForTheFirstOnesAnswer() {
         assertThat(claim("k", "f")).isEqualTo(Claim.OWNED);
         assertThat(claim("k", "f")).isEqualTo(Claim.ATTACHED);
-        assertThat(heard).isEmpty();
+        assertThat(answers).isEmpty();
         keys.finish("k", "answer", 1);
-        assertThat(heard).containsExactly("answer");
+        assertThat(answers).containsExactly("answer");
     }
 
     @Test
@@ -29,7 +29,7 @@
         claim("k", "f");
         keys.finish("k", "answer", 1);
         assertThat(claim("k", "f")).isEqualTo(Claim.ATTACHED);
-        assertThat(heard).containsExactly("answer");
+        assertThat(answers).containsExactly("answer");
     }
 
     @Test
@@ -57,7 +57,7 @@
         claim("k", "f");
         claim("k", "f");
         keys.release("k", "refused", 1);
-        assertThat(heard).containsExactly("refused");
+        assertThat(answers).containsExactly("refused");
         assertThat(claim("k", "f")).isEqualTo(Claim.OWNED);
     }
 
@@ -67,16 +67,16 @@
         claim("done", "f");
         keys.finish("done", "answer", 0);
         keys.purge(1000);
-        assertThat(keys.known("running")).isTrue();
-        assertThat(keys.known("done")).isFalse();
+        assertThat(keys.isKnown("running")).isTrue();
+        assertThat(keys.isKnown("done")).isFalse();
     }
 
     @Test
-    void onlyVersionSevenUuidsTellWhenTheyWereMade() {
-        assertThat(KeyAge.mintedAtMillis("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"))
+    void onlyUuidsOfVersionSevenHaveACreationTime() {
+        assertThat(KeyTimestamp.mintedAtMillis("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"))
                 .hasValue(1645557742000L);
-        assertThat(KeyAge.mintedAtMillis("017f22e2-79b0-4cc3-98c4-dc0c0c07398f"))
+        assertThat(KeyTimestamp.mintedAtMillis("017f22e2-79b0-4cc3-98c4-dc0c0c07398f"))
                 .isEmpty();
-        assertThat(KeyAge.mintedAtMillis("deposit-17")).isEmpty();
+        assertThat(KeyTimestamp.mintedAtMillis("deposit-17")).isEmpty();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/placement/PlacementTest.java
+++ b/core/src/test/java/org/quetzalseam/core/placement/PlacementTest.java
@@ -11,7 +11,7 @@
     private static final List<String> NAMES = List.of("a", "b", "c", "d", "e", "f");
 
     @Test
-    void onlyTheKeysOfALostNameMove() {
+    void onlyTheKeysOfARemovedNameMove() {
         List<String> fewer = new ArrayList<>(NAMES);
         fewer.remove("c");
         for (long key = 0; key < 500; key++) {
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void affinityGivesWayWhenItsEndpointIsMuchBusier() {
+    void affinityIsIgnoredWhenItsEndpointIsMuchBusier() {
         List<Candidate> even = List.of(new Candidate("a", "z", 5, 0), new Candidate("b", "z", 5, 0));
         int home = Placement.prefixAffinity(100).choose(even, 77, "z");
         List<Candidate> busy = new ArrayList<>(even);
@@ -53,13 +53,13 @@
     }
 
     @Test
-    void anEndpointThatKeepsFailingIsLeftOutForAWhile() {
+    void anEndpointThatKeepsFailingIsEjectedForAWhile() {
         Ejection ejection = new Ejection();
-        ejection.failed(0);
-        ejection.failed(0);
-        assertThat(ejection.ejected(1)).isFalse();
-        ejection.failed(0);
-        assertThat(ejection.ejected(1)).isTrue();
-        assertThat(ejection.ejected(2_000_000_000L)).isFalse();
+        ejection.recordFailure(0);
+        ejection.recordFailure(0);
+        assertThat(ejection.isEjected(1)).isFalse();
+        ejection.recordFailure(0);
+        assertThat(ejection.isEjected(1)).isTrue();
+        assertThat(ejection.isEjected(2_000_000_000L)).isFalse();
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/Admittance.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/Admittance.java
@@ -66,7 +66,7 @@
      */
     CallerException lacking(int status, String code, String message) {
         long now = System.nanoTime();
-        if (inForce.known(now)) {
+        if (inForce.isKnownCurrent(now)) {
             return CallerException.bad(status, code, message);
         }
         metrics.refusal(IN_DOUBT);
--- a/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueWatch.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueWatch.java
@@ -36,7 +36,7 @@
     private void follow(Duration wait) {
         long askedAt = System.nanoTime();
         store.watch(CatalogueStore.ACCEPTED, storeVersion, wait).ifPresent(this::take);
-        inForce.confirmed(askedAt);
+        inForce.confirm(askedAt);
     }
 
     private void take(Versioned<Manifest> read) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Admission.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Admission.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.core.admission.BookingPolicy;
+import org.quetzalseam.core.admission.QueuedAttempt;
 import org.quetzalseam.core.admission.SlotLedger;
-import org.quetzalseam.core.admission.Ticket;
 import org.quetzalseam.core.admission.WorkClass;
 import org.quetzalseam.core.admission.WorkQueue;
 import org.quetzalseam.core.attempt.AttemptId;
@@ -110,23 +110,23 @@
         }
     }
 
-    private @Nullable RefusalReason refusal(Ticket ticket, int queueLength, long now) {
+    private @Nullable RefusalReason refusal(QueuedAttempt ticket, int queueLength, long now) {
         if (leaving) {
             return RefusalReason.LEAVING;
         }
         if (rules.queue().waiting(ticket.entry()) >= queueLength) {
             return RefusalReason.QUEUE_FULL;
         }
-        boolean late = backlogNanos(ticket) > ticket.waitUntil() - now;
+        boolean late = backlogNanos(ticket) > ticket.deadlineNanos() - now;
         return rules.shedding() && late ? RefusalReason.WAIT_TOO_LONG : null;
     }
 
-    private long retryMillis(Ticket ticket, long now) {
-        long excess = backlogNanos(ticket) - (ticket.waitUntil() - now);
+    private long retryMillis(QueuedAttempt ticket, long now) {
+        long excess = backlogNanos(ticket) - (ticket.deadlineNanos() - now);
         return Math.max(MIN_RETRY_MILLIS, excess / NANOS_PER_MILLI);
     }
 
-    private long backlogNanos(Ticket ticket) {
+    private long backlogNanos(QueuedAttempt ticket) {
         return backlogNanos(ticket.workClass());
     }
 
@@ -142,7 +142,7 @@
     }
 
     private int extra() {
-        return rules.ahead().extraPlaces(ledger.capacity(), (long) (meanHoldNanos / NANOS_PER_MILLI), leadMillis);
+        return rules.ahead().extraSlots(ledger.capacity(), (long) (meanHoldNanos / NANOS_PER_MILLI), leadMillis);
     }
 
     /** Gives places to waiting jobs for as long as there are any. */
@@ -157,7 +157,7 @@
     private Optional<Job> place() {
         synchronized (lock) {
             int extra = extra();
-            Optional<Ticket> ticket = rules.queue().poll(candidate -> placeable(candidate.workClass(), extra));
+            Optional<QueuedAttempt> ticket = rules.queue().poll(candidate -> placeable(candidate.workClass(), extra));
             if (ticket.isEmpty()) {
                 return Optional.empty();
             }
@@ -178,7 +178,7 @@
 
     private boolean placeable(WorkClass workClass, int extra) {
         boolean inWindow = workClass == WorkClass.SHORT || longUnstarted.size() < rules.longWindow();
-        return inWindow && ledger.available(workClass, extra);
+        return inWindow && ledger.isAvailable(workClass, extra);
     }
 
     /** Starts a placed job. Returns false when it was sealed or its lease has run out: then it must not run. */
@@ -255,7 +255,7 @@
         lastTick = now;
         List<Job> late = new ArrayList<>();
         synchronized (lock) {
-            for (Ticket ticket : rules.queue().expire(now)) {
+            for (QueuedAttempt ticket : rules.queue().expire(now)) {
                 Job job = waiting.remove(ticket.id());
                 if (job != null) {
                     late.add(job);
@@ -267,7 +267,7 @@
                 giveUp(job, RefusalReason.WAIT_TOO_LONG);
             }
         }
-        table.lapsed(now).forEach(this::lapse);
+        table.expireLeases(now).forEach(this::lapse);
         table.purge(now);
         pump();
     }
@@ -284,12 +284,12 @@
 
     /** Takes no new jobs from now on and hands back those that wait, as not run. */
     void leave() {
-        List<Ticket> unstarted;
+        List<QueuedAttempt> unstarted;
         List<Job> jobs = new ArrayList<>();
         synchronized (lock) {
             leaving = true;
             unstarted = rules.queue().drain();
-            for (Ticket ticket : unstarted) {
+            for (QueuedAttempt ticket : unstarted) {
                 Job job = waiting.remove(ticket.id());
                 if (job != null) {
                     jobs.add(job);
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Job.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Job.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
-import org.quetzalseam.core.admission.Ticket;
+import org.quetzalseam.core.admission.QueuedAttempt;
 import org.quetzalseam.core.attempt.AttemptId;
 import org.quetzalseam.wire.message.AttemptMessage;
 import org.quetzalseam.wire.message.AttemptReply;
@@ -17,7 +17,7 @@
  * Thread-safe.
  */
 final class Job {
-    private final Ticket ticket;
+    private final QueuedAttempt ticket;
     private final AttemptMessage request;
     private final Sessions sessions;
     private final List<String> outputs = new ArrayList<>();
@@ -27,7 +27,7 @@
     private volatile long bookedAt;
     private volatile boolean started;
 
-    Job(Ticket ticket, AttemptMessage request, Sessions sessions) {
+    Job(QueuedAttempt ticket, AttemptMessage request, Sessions sessions) {
         this.ticket = ticket;
         this.request = request;
         this.sessions = sessions;
@@ -37,7 +37,7 @@
         return ticket.id();
     }
 
-    Ticket ticket() {
+    QueuedAttempt ticket() {
         return ticket;
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/ServiceGate.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/ServiceGate.java
@@ -85,7 +85,7 @@
 
     /** Returns the digests of the keys seen or barred here and not yet forgotten. */
     List<String> rememberedKeys() {
-        return keys.remembered();
+        return keys.retainedKeys();
     }
 
     /** Finds out about the process before this one. Returns false when that has to be tried again. */
@@ -95,7 +95,7 @@
 
     /** Leaves word for the process after this one. */
     void end() {
-        tenure.end(keys.remembered());
+        tenure.end(keys.retainedKeys());
     }
 
     void purgeKeys() {
@@ -122,7 +122,7 @@
 
     /** Bars a key here, unless it was or may have been seen here or by the process before. */
     private boolean deny(FenceKey fence) {
-        boolean known = keys.known(fence.key());
+        boolean known = keys.isKnown(fence.key());
         boolean old = mayBeOlder(fence.mintedAtMillis(), System.nanoTime() - startedAt);
         if (!known && old && tenure.mayHaveBeenSeen(fence.key())) {
             return false;
@@ -132,7 +132,7 @@
 
     /** Claims the call's key. Returns whether the call is to be run; otherwise the job has been or will be answered. */
     private boolean claim(Job job, KeyUse use) {
-        if (admission.load().leaving() && !keys.known(use.key())) {
+        if (admission.load().leaving() && !keys.isKnown(use.key())) {
             refuse(job, RefusalReason.LEAVING);
             return false;
         }
@@ -140,7 +140,7 @@
             refuse(job, RefusalReason.OLD_MEMBERS);
             return false;
         }
-        if (!keys.known(use.key()) && use.fencedFor() != incarnation) {
+        if (!keys.isKnown(use.key()) && use.fencedFor() != incarnation) {
             Optional<RefusalReason> doubt = doubt(use);
             if (doubt.isPresent()) {
                 refuse(job, doubt.get());
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Tickets.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Tickets.java
@@ -1,7 +1,7 @@
 package org.quetzalseam.daemon.endpoint;
 
 import java.time.Duration;
-import org.quetzalseam.core.admission.Ticket;
+import org.quetzalseam.core.admission.QueuedAttempt;
 import org.quetzalseam.core.attempt.AttemptId;
 import org.quetzalseam.wire.message.Work;
 
@@ -11,10 +11,10 @@
 
     private Tickets() {}
 
-    static Ticket of(AttemptId id, Work work, long cost) {
+    static QueuedAttempt of(AttemptId id, Work work, long cost) {
         long wait = Math.max(0, Math.min(work.waitMillis(), MAX_WAIT_MILLIS));
         long until = System.nanoTime() + Duration.ofMillis(wait).toNanos();
-        return new Ticket(
+        return new QueuedAttempt(
                 id, work.owner(), work.entry(), work.workClass(), Math.max(1, work.weight()), Math.max(1, cost), until);
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
@@ -168,7 +168,7 @@
     /** Returns whether new work may be sent there. */
     boolean usable() {
         synchronized (ejection) {
-            if (ejection.ejected(context.timers().now())) {
+            if (ejection.isEjected(context.timers().now())) {
                 return false;
             }
         }
@@ -177,13 +177,13 @@
 
     void succeeded() {
         synchronized (ejection) {
-            ejection.succeeded();
+            ejection.recordSuccess();
         }
     }
 
     void failed() {
         synchronized (ejection) {
-            ejection.failed(context.timers().now());
+            ejection.recordFailure(context.timers().now());
         }
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.quetzalseam.core.attempt.AttemptId;
 import org.quetzalseam.core.attempt.Outcome;
-import org.quetzalseam.core.keyed.KeyAge;
+import org.quetzalseam.core.keyed.KeyTimestamp;
 import org.quetzalseam.core.placement.Rendezvous;
 import org.quetzalseam.daemon.catalogue.Digests;
 import org.quetzalseam.daemon.entry.EndpointLink.Reach;
@@ -51,7 +51,7 @@
         this.attempts = attempts;
         this.trace = trace;
         this.id = request.requestId().firstAttempt();
-        this.mintedAt = KeyAge.mintedAtMillis(rawKey).orElse(0);
+        this.mintedAt = KeyTimestamp.mintedAtMillis(rawKey).orElse(0);
         String scope = request.entry().owner() + '\n' + request.service().name() + '\n';
         this.key = Digests.of(scope + rawKey).substring(0, KEY_DIGITS);
         this.fingerprint = Digests.of(request.method() + '\n' + request.path() + '\n' + Digests.of(request.body()))
--- a/daemon/src/main/java/org/quetzalseam/daemon/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/settings/SettingsReader.java
@@ -89,10 +89,10 @@
         void finish() {
             for (String name : present.keySet()) {
                 if (used.stream().noneMatch(section -> section.name().equals(name))) {
-                    document.report("[" + name + "]", "unknown section" + IniSection.nearest(name, SECTIONS));
+                    document.report("[" + name + "]", "unknown section" + IniSection.suggestNearest(name, SECTIONS));
                 }
             }
-            used.forEach(IniSection::refuseUnknownKeys);
+            used.forEach(IniSection::reportUnknownKeys);
         }
     }
 
--- a/daemon/src/test/java/org/quetzalseam/daemon/settings/SettingsReaderTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/settings/SettingsReaderTest.java
@@ -39,7 +39,7 @@
     @Test
     void anEndpointNeedsABackend() {
         assertThat(SettingsReader.read(Role.ENDPOINT, "f", SOUND).problems())
-                .extracting(Problem::path)
+                .extracting(Problem::location)
                 .contains("[backend] kind", "[backend] url");
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Directory.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Directory.java
@@ -57,9 +57,9 @@
         Endpoint known = endpoints.get(member.id());
         if (known == null) {
             endpoints.put(member.id(), create(member));
-        } else if (known.member().incarnation().endedBefore(member.incarnation())) {
+        } else if (known.member().incarnation().precedes(member.incarnation())) {
             replaceRestarted(known, member, "registration");
-        } else if (!member.incarnation().endedBefore(known.member().incarnation())) {
+        } else if (!member.incarnation().precedes(known.member().incarnation())) {
             updateMember(known, member);
         }
     }
@@ -68,7 +68,7 @@
         if (!endpoint.member().equals(member)) {
             logger.atInfo().log(
                     "event=endpoint-changed endpoint=%s service=%s leaving=%s stage=%s",
-                    member.id(), member.service(), member.leaving(), member.stage());
+                    member.id(), member.service(), member.draining(), member.stage());
         }
         endpoint.member(member);
     }
@@ -77,7 +77,7 @@
     public void recordRestart(Endpoint endpoint, long startMillis) {
         Member member = endpoint.member();
         if (endpoints.get(member.id()) == endpoint && startMillis > member.startMillis()) {
-            replaceRestarted(endpoint, member.startedAgain(startMillis), "report");
+            replaceRestarted(endpoint, member.restartedAt(startMillis), "report");
         }
     }
 
@@ -97,7 +97,7 @@
     private Endpoint create(Member member) {
         logger.atInfo().log(
                 "event=endpoint-added endpoint=%s service=%s address=%s zone=%s stage=%s leaving=%s",
-                member.id(), member.service(), member.address(), member.zone(), member.stage(), member.leaving());
+                member.id(), member.service(), member.address(), member.zone(), member.stage(), member.draining());
         Endpoint endpoint = new Endpoint(connector, member);
         endpoint.maxConnections(maxConnections.getOrDefault(member.service(), Integer.MAX_VALUE));
         return endpoint;
@@ -121,7 +121,7 @@
 
     /** Returns whether the endpoint may still take new work. */
     public boolean usable(Endpoint endpoint) {
-        return !endpoint.member().leaving()
+        return !endpoint.member().draining()
                 && !endpoint.misdirected()
                 && endpoints.get(endpoint.member().id()) == endpoint;
     }
@@ -131,7 +131,7 @@
         List<Endpoint> found = new ArrayList<>();
         for (Endpoint endpoint : endpoints.values()) {
             Member member = endpoint.member();
-            if (!member.leaving()
+            if (!member.draining()
                     && !endpoint.misdirected()
                     && member.stage() == stage
                     && member.service().equals(service)) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
@@ -19,7 +19,7 @@
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.core.fleet.EndpointHealth;
 import org.quetzalseam.core.fleet.Member;
-import org.quetzalseam.core.fleet.TurnAways;
+import org.quetzalseam.core.fleet.RejectionBackoff;
 import org.quetzalseam.core.limits.IdleLimit;
 import org.quetzalseam.gateway.http.CallFailure;
 import org.quetzalseam.gateway.http.Connector;
@@ -61,8 +61,8 @@
     private final Timers timers;
     private final InetSocketAddress address;
     private final EndpointHealth health = new EndpointHealth();
-    private final TurnAways workRejections = new TurnAways(0);
-    private final TurnAways cacheRejections = new TurnAways(1);
+    private final RejectionBackoff workRejections = new RejectionBackoff(0);
+    private final RejectionBackoff cacheRejections = new RejectionBackoff(1);
     private final Deque<HttpConnection> idleConnections = new ArrayDeque<>();
     private final Deque<HttpConnection> idleControlConnections = new ArrayDeque<>();
     private final IdleLimit idleLimit = new IdleLimit();
@@ -91,7 +91,7 @@
 
     void member(Member renewed) {
         if (renewed.stage() != member.stage()) {
-            workRejections.taken();
+            workRejections.recordAcceptance();
         }
         misdirected = misdirected && renewed.equals(member);
         member = renewed;
@@ -124,18 +124,18 @@
     }
 
     /** Returns how it has lately turned work away that it was sent. */
-    public TurnAways workRejections() {
+    public RejectionBackoff workRejections() {
         return workRejections;
     }
 
     /** Returns how generations have lately been turned away elsewhere that were to go on from a KV cache of its. */
-    public TurnAways cacheRejections() {
+    public RejectionBackoff cacheRejections() {
         return cacheRejections;
     }
 
     /** Returns whether other engines are to be used before it. */
     public boolean excluded(long now) {
-        return workRejections.leftOut(now) || cacheRejections.leftOut(now);
+        return workRejections.isExcluded(now) || cacheRejections.isExcluded(now);
     }
 
     /** Returns how many requests of this entry it has. */
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
@@ -199,7 +199,7 @@
         Optional<Endpoint> best = engines.stream()
                 .filter(candidate -> request.accepts(candidate) && mayHaveRoom(candidate, request, now))
                 .min(Comparator.<Endpoint, Boolean>comparing(
-                                candidate -> candidate.health().suspect(now))
+                                candidate -> candidate.health().isSuspect(now))
                         .thenComparingInt(candidate -> bookedTokens.getOrDefault(candidate, 0))
                         .thenComparing(candidate -> ThreadLocalRandom.current().nextInt()));
         if (best.isEmpty() && request.refusedWhenFull()) {
@@ -317,7 +317,7 @@
 
     private void unanswered(BookingRequest request, Endpoint engine, CallFailure failure) {
         recordAnswer(request, engine);
-        engine.health().failed(context.now());
+        engine.health().recordFailure(context.now());
         refusals.put(engine, new Refusal(context.now(), 0));
         logger.atInfo().log(
                 "event=booking-failed service=%s endpoint=%s kind=%s detail=\"%s\"",
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
@@ -20,13 +20,13 @@
 
     /** Returns the longest pause between events that meets the objective, in milliseconds; 0 if there is no such objective. */
     double maxPauseMillis() {
-        return (double) route.pauseMillis();
+        return (double) route.targetGapMillis();
     }
 
     /** Returns the time left at this moment. An answer whose first event arrives after its caller has given up is of no use. */
     ReadingPool.Due remaining() {
-        double toObjective = (double) route.targetMillis() - exchange.ageMillis() - earlierAttemptsMillis;
-        long toTimeout = Math.min(forwarded.remainingMillis(), route.silenceMillis() - exchange.ageMillis());
-        return new ReadingPool.Due(toObjective, (double) toTimeout, (double) route.targetMillis());
+        double toObjective = (double) route.targetLatencyMillis() - exchange.ageMillis() - earlierAttemptsMillis;
+        long toTimeout = Math.min(forwarded.remainingMillis(), route.idleTimeoutMillis() - exchange.ageMillis());
+        return new ReadingPool.Due(toObjective, (double) toTimeout, (double) route.targetLatencyMillis());
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
@@ -183,9 +183,9 @@
         @Override
         public void begun(HttpResponse head) {
             mayHaveRun = true;
-            engine.workRejections().taken();
+            engine.workRejections().recordAcceptance();
             if (prefillEngine != null) {
-                prefillEngine.cacheRejections().taken();
+                prefillEngine.cacheRejections().recordAcceptance();
             }
             if (!exchange.begun()) {
                 exchange.begin(head);
@@ -204,7 +204,7 @@
                 return;
             }
             attempts.recordRun();
-            engine.health().succeeded(context.now(), engine.health().millis());
+            engine.health().recordSuccess(context.now(), engine.health().responseMillis());
             statistics.recordAnswered(relay.events().eventCount());
             finish("answered", HttpResponseStatus.OK.code());
             exchange.end();
@@ -232,9 +232,9 @@
      */
     private void recordRefusal(Endpoint engine, @Nullable Endpoint prefillEngine) {
         long now = context.now();
-        engine.workRejections().turnedAway(now);
+        engine.workRejections().recordRejection(now);
         if (prefillEngine != null) {
-            prefillEngine.cacheRejections().turnedAway(now);
+            prefillEngine.cacheRejections().recordRejection(now);
         }
     }
 
@@ -249,7 +249,7 @@
         }
         attempts.recordRun();
         mayHaveRun = true;
-        engine.health().failed(context.now());
+        engine.health().recordFailure(context.now());
         if (exchange.begun() || !facts.signed()) {
             body.release();
             resumeElsewhere(engine, "status " + status);
@@ -260,7 +260,7 @@
     }
 
     private void decodeFailed(Endpoint engine, CallFailure failure) {
-        engine.health().failed(context.now());
+        engine.health().recordFailure(context.now());
         log.callFailed("decode", engine, failure);
         if (failure.nothingSent()) {
             retryNotRun("the engine can't be reached");
@@ -320,7 +320,7 @@
             return;
         }
         finish("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
-        context.refuse(exchange, why, bookings.retryAfterMillis((double) route.targetMillis()));
+        context.refuse(exchange, why, bookings.retryAfterMillis((double) route.targetLatencyMillis()));
     }
 
     private void callerWritable() {
@@ -333,13 +333,13 @@
     /** Records a failure of the engine if the caller has waited for more than twice the objective without a first event. */
     private void recordMissingFirstEvent(@Nullable EndpointCall running) {
         BookedMemory booked = held.memory();
-        boolean overdue = exchange.ageMillis() > UNRESPONSIVE_OBJECTIVES * route.targetMillis();
+        boolean overdue = exchange.ageMillis() > UNRESPONSIVE_OBJECTIVES * route.targetLatencyMillis();
         if (running != null
                 && running.active()
                 && booked != null
                 && relay.pace().pieces() == 0
                 && overdue) {
-            booked.engine().health().failed(context.now());
+            booked.engine().health().recordFailure(context.now());
         }
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -44,7 +44,7 @@
                 .filter(engine -> !excluded.contains(engine) && engine.hasFreeConnection())
                 .toList();
         List<Endpoint> healthy = reachable.stream()
-                .filter(engine -> !engine.health().suspect(now))
+                .filter(engine -> !engine.health().isSuspect(now))
                 .toList();
         Comparator<Endpoint> ties = Comparator.<Endpoint, Boolean>comparing(
                         engine -> !engine.member().zone().equals(zone))
@@ -98,7 +98,7 @@
 
     /** Returns whether a prefill should be restarted at another engine. */
     boolean isLost(ReadingPool<Endpoint>.Reading prefill, Endpoint engine) {
-        boolean removed = !engine.member().leaving() && !context.directory().usable(engine);
+        boolean removed = !engine.member().draining() && !context.directory().usable(engine);
         return prefill.lost(usable(), removed, context.now());
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -150,7 +150,7 @@
         }
         prefillCall.cancel();
         end();
-        engine.health().failed(context.now());
+        engine.health().recordFailure(context.now());
         log.callFailed(
                 "prefill",
                 engine,
@@ -199,7 +199,7 @@
         }
         end();
         if (handle.isEmpty()) {
-            engine.workRejections().turnedAway(context.now());
+            engine.workRejections().recordRejection(context.now());
             log.step(
                     "prefill-refused",
                     engine,
@@ -207,8 +207,8 @@
             retryElsewhere(decodeEngine);
             return;
         }
-        engine.workRejections().taken();
-        engine.health().succeeded(context.now(), millis);
+        engine.workRejections().recordAcceptance();
+        engine.health().recordSuccess(context.now(), millis);
         long predicted = answeredPrefill == null ? 0 : Math.round(answeredPrefill.predictedMillis());
         log.step("prefilled", engine, "took_ms=" + Math.round(millis) + " predicted_ms=" + predicted);
         listener.prefilled(engine, handle.get());
@@ -216,7 +216,7 @@
 
     private void failed(Endpoint engine, Endpoint decodeEngine, CallFailure failure) {
         end();
-        engine.health().failed(context.now());
+        engine.health().recordFailure(context.now());
         log.callFailed("prefill", engine, failure);
         retryElsewhere(decodeEngine);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -140,7 +140,7 @@
                         now)
                 .filter(free -> free.hasFreeConnection()
                         && !free.excluded(now)
-                        && !free.health().suspect(now));
+                        && !free.health().isSuspect(now));
         engine.ifPresent(chosen -> inPlace.begin(chosen, request.promptTokens(), millisPerToken, now));
         return engine;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
@@ -57,7 +57,7 @@
         }
         routes = table;
         context.services(table.services());
-        logger.atInfo().log("event=desired-state version=%d routes=%d", table.version(), table.routes());
+        logger.atInfo().log("event=desired-state version=%d routes=%d", table.version(), table.routeCount());
         routeEarlyRequests();
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
@@ -76,7 +76,7 @@
         long now = context.now();
         List<Endpoint> usable = context.directory().usable(service, Stage.WHOLE);
         Comparator<Endpoint> order = Comparator.<Endpoint, Boolean>comparing(triedEndpoints::contains)
-                .thenComparing(endpoint -> endpoint.health().suspect(now))
+                .thenComparing(endpoint -> endpoint.health().isSuspect(now))
                 .thenComparingDouble(ServiceRun::expectedMillis)
                 .thenComparing(endpoint ->
                         !endpoint.member().zone().equals(context.settings().zone()))
@@ -87,7 +87,7 @@
     private static double expectedMillis(Endpoint endpoint) {
         return endpoint.outstanding() == 0
                 ? 0
-                : endpoint.outstanding() * endpoint.health().millis();
+                : endpoint.outstanding() * endpoint.health().responseMillis();
     }
 
     private void sendToNext() {
@@ -148,15 +148,15 @@
         mayHaveRun = true;
         if (!facts.signed()) {
             body.release();
-            endpoint.health().failed(context.now());
+            endpoint.health().recordFailure(context.now());
             retryOrReportUnknown(endpoint, "unsigned answer " + answer.status().code());
             return;
         }
         boolean serverFault = answer.status().code() >= 500;
         if (serverFault) {
-            endpoint.health().failed(context.now());
+            endpoint.health().recordFailure(context.now());
         } else {
-            endpoint.health().succeeded(context.now(), (context.now() - sentAt) / 1e6);
+            endpoint.health().recordSuccess(context.now(), (context.now() - sentAt) / 1e6);
         }
         if (serverFault && context.decideRetry(route, service, runs) == RetryDecision.ALLOWED) {
             body.release();
@@ -191,7 +191,7 @@
         if (exchange.ended()) {
             return;
         }
-        endpoint.health().failed(context.now());
+        endpoint.health().recordFailure(context.now());
         log.callFailed("run", endpoint, failure);
         if (failure.nothingSent()) {
             connectFailures++;
@@ -239,7 +239,7 @@
         boolean sent = mayHaveRun || (running != null && running.sent());
         Endpoint unresponsive = currentEndpoint;
         if (unresponsive != null && running != null && running.active()) {
-            unresponsive.health().failed(context.now());
+            unresponsive.health().recordFailure(context.now());
         }
         if (running != null) {
             running.cancel();
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/UnbookedEngine.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/UnbookedEngine.java
@@ -21,7 +21,7 @@
         long now = context.now();
         return context.directory().usable(service, stage).stream()
                 .min(Comparator.<Endpoint, Boolean>comparing(
-                                endpoint -> endpoint.health().suspect(now))
+                                endpoint -> endpoint.health().isSuspect(now))
                         .thenComparingInt(Endpoint::outstanding));
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
@@ -217,7 +217,7 @@
 
     private void onRecord(StoredObject object) {
         callInFlight = false;
-        if (object.position().before(lease.position())) {
+        if (object.position().isBefore(lease.position())) {
             // An old answer: what is known already is newer.
             return;
         }
