--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -248,9 +248,9 @@
         }
     }
 
-    private static void cancel(@Nullable ScheduledCall subscription) {
-        if (subscription != null) {
-            subscription.cancel();
+    private static void cancel(@Nullable ScheduledCall timer) {
+        if (timer != null) {
+            timer.cancel();
         }
     }
 }
