--- a/core/src/main/java/org/quetzalseam/core/drain/GracePeriod.java
+++ b/core/src/main/java/org/quetzalseam/core/drain/GracePeriod.java
@@ -15,16 +15,16 @@
      * How long callers are still sent here who could go elsewhere, in nanoseconds: the balancer asks once a second, and takes an
      * entry out after two answers that it isn't ready.
      */
-    private static final long NOTICE_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long BALANCER_NOTICE_NANOS = TimeUnit.SECONDS.toNanos(3);
     /**
      * How sure the end of a request must be while the balancer hasn't noticed, in standard deviations: nine in ten. A refusal
      * costs the caller one of few tries, a cut stream all of what it has waited for.
      */
-    private static final double LIKELY = 1.28;
+    private static final double EARLY_DEVIATIONS = 1.28;
     /** The same afterwards, in standard deviations: all but about one in a thousand, as many may come until the end. */
-    private static final double SURE = 3;
+    private static final double LATE_DEVIATIONS = 3;
     /** How long no request has been taken when the balancer is taken to have nobody left to send, in nanoseconds. */
-    private static final long QUIET_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(1);
     /** Time kept from the grace period for last words and the end of the process, in nanoseconds. */
     private static final long END_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
     /** When to come back if another entry takes the request, in milliseconds: a new connection is enough. */
@@ -34,8 +34,8 @@
 
     private final long begunAt;
     private final long endsAt;
-    private final long turnEndsAt;
-    private long takenAt;
+    private final long acceptUntil;
+    private long lastAcceptedAt;
 
     /**
      * Begins a grace period. Times are monotonic, in nanoseconds.
@@ -48,9 +48,9 @@
     public GracePeriod(long begunAt, long graceNanos, int rank, int processes) {
         this.begunAt = begunAt;
         this.endsAt = begunAt + graceNanos - END_MARGIN_NANOS;
-        long shared = Math.max(0, endsAt - begunAt - NOTICE_NANOS);
-        this.turnEndsAt = endsAt - shared + shared * (rank + 1) / processes;
-        this.takenAt = begunAt;
+        long shared = Math.max(0, endsAt - begunAt - BALANCER_NOTICE_NANOS);
+        this.acceptUntil = endsAt - shared + shared * (rank + 1) / processes;
+        this.lastAcceptedAt = begunAt;
     }
 
     /**
@@ -58,21 +58,21 @@
      * have noticed, callers come only where all leave: then the processes give up taking one after the other, in the order of
      * their ranks, so that the first are back before the last have gone.
      */
-    public long leftMillis(long now) {
-        return TimeUnit.NANOSECONDS.toMillis((noticed(now) ? turnEndsAt : endsAt) - now);
+    public long remainingMillis(long now) {
+        return TimeUnit.NANOSECONDS.toMillis((isNoticed(now) ? acceptUntil : endsAt) - now);
     }
 
     /** Returns how sure the end of a request must be for it to be taken, in standard deviations. */
-    public double certainty(long now) {
-        return noticed(now) ? SURE : LIKELY;
+    public double requiredDeviations(long now) {
+        return isNoticed(now) ? LATE_DEVIATIONS : EARLY_DEVIATIONS;
     }
 
     /** Decides whether a request that ends within the given time is still taken, and notes it if so. */
-    public boolean take(long now, long boundMillis) {
-        if (boundMillis > leftMillis(now)) {
+    public boolean accept(long now, long boundMillis) {
+        if (boundMillis > remainingMillis(now)) {
             return false;
         }
-        takenAt = now;
+        lastAcceptedAt = now;
         return true;
     }
 
@@ -84,35 +84,35 @@
      * @param now the time
      * @param draw a number drawn evenly from 0 to 1
      */
-    public long comeBackMillis(long now, double draw) {
-        if (!noticed(now)) {
+    public long retryAfterMillis(long now, double draw) {
+        if (!isNoticed(now)) {
             return ELSEWHERE_MILLIS;
         }
-        long refusing = TimeUnit.NANOSECONDS.toMillis(Math.max(0, turnEndsAt - begunAt - NOTICE_NANOS));
-        return Math.max(0, leftMillis(now)) + RESTART_MILLIS + (long) (draw * refusing);
+        long refusing = TimeUnit.NANOSECONDS.toMillis(Math.max(0, acceptUntil - begunAt - BALANCER_NOTICE_NANOS));
+        return Math.max(0, remainingMillis(now)) + RESTART_MILLIS + (long) (draw * refusing);
     }
 
     /**
      * Returns when a caller may come back who found no room that this entry expects to have after the given time. Who waits so long
      * for room needs about as long again once there is some; where both fit, this entry serves it sooner than its successor.
      */
-    public long comeBackMillis(long now, double draw, long roomMillis) {
-        return 2 * roomMillis <= leftMillis(now) ? roomMillis : comeBackMillis(now, draw);
+    public long retryAfterMillis(long now, double draw, long roomMillis) {
+        return 2 * roomMillis <= remainingMillis(now) ? roomMillis : retryAfterMillis(now, draw);
     }
 
     /** Returns whether the balancer must have noticed that this entry leaves. */
-    public boolean noticed(long now) {
-        return now - begunAt > NOTICE_NANOS;
+    public boolean isNoticed(long now) {
+        return now - begunAt > BALANCER_NOTICE_NANOS;
     }
 
     /** Returns whether whatever is still under way has to end now. */
-    public boolean over(long now) {
+    public boolean isOver(long now) {
         return now - endsAt >= 0;
     }
 
     /** Returns whether nothing is left to do: nothing is under way, and nobody is sent here any more. */
     public boolean mayEndEarly(long now, int requestsUnderWay) {
-        boolean nobodyComes = now - takenAt > QUIET_NANOS || now - turnEndsAt >= 0;
-        return requestsUnderWay == 0 && noticed(now) && nobodyComes;
+        boolean nobodyComes = now - lastAcceptedAt > IDLE_NANOS || now - acceptUntil >= 0;
+        return requestsUnderWay == 0 && isNoticed(now) && nobodyComes;
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/ReadingPace.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/EnginePrefillModel.java
@@ -10,33 +10,33 @@
  * <p>What an answer took is split in two: what this entry's own prompts account for at the learnt pace, and the rest, which
  * others have put before them. A prompt that is overdue tells as much as an answer.
  */
-final class ReadingPace {
+final class EnginePrefillModel {
     /** Weight of a reading faster than the learnt pace: load only ever slows a reading, so a fast one is near the truth. */
-    private static final double FASTER = 0.5;
+    private static final double FASTER_WEIGHT = 0.5;
     /** Weight of a slower one, which others' prompts may have delayed: an engine that turns slow shows in what others have waiting meanwhile. */
-    private static final double SLOWER = 0.03;
+    private static final double SLOWER_WEIGHT = 0.03;
     /** Weight of the newest answer in what others have waiting: it is older than the answer by a queue's length already. */
-    private static final double NEWEST_WAIT = 0.5;
+    private static final double NEWEST_BACKLOG_WEIGHT = 0.5;
 
-    private final Deque<Reading> underWay = new ArrayDeque<>();
+    private final Deque<Prefill> inProgress = new ArrayDeque<>();
     private double millisPerToken;
-    private double others;
-    private long othersAt;
-    private long heardAt;
-    private boolean heard;
+    private double othersBacklogMillis;
+    private long othersBacklogAt;
+    private long lastCompletedAt;
+    private boolean hasCompletedAny;
 
     /** One prompt under way at an engine. */
-    static final class Reading {
+    static final class Prefill {
         private final int tokens;
         private final long begunAt;
-        private final double ahead;
-        private final double predicted;
+        private final double aheadMillis;
+        private final double predictedMillis;
 
-        Reading(int tokens, long begunAt, double ahead, double predicted) {
+        Prefill(int tokens, long begunAt, double ahead, double predicted) {
             this.tokens = tokens;
             this.begunAt = begunAt;
-            this.ahead = ahead;
-            this.predicted = predicted;
+            this.aheadMillis = ahead;
+            this.predictedMillis = predicted;
         }
 
         int tokens() {
@@ -44,7 +44,7 @@
         }
 
         double predictedMillis() {
-            return predicted;
+            return predictedMillis;
         }
     }
 
@@ -53,67 +53,68 @@
         return millisPerToken;
     }
 
-    Reading begin(int tokens, long now, double usualPace) {
-        Reading reading = new Reading(tokens, now, ownMillis(now, usualPace), endMillis(tokens, now, usualPace));
-        underWay.add(reading);
+    Prefill begin(int tokens, long now, double usualPace) {
+        Prefill reading =
+                new Prefill(tokens, now, ownBacklogMillis(now, usualPace), completionMillis(tokens, now, usualPace));
+        inProgress.add(reading);
         return reading;
     }
 
     /** Notes that a prompt was read. */
-    void read(Reading reading, long now, double usualPace) {
-        if (!underWay.remove(reading)) {
+    void completed(Prefill reading, long now, double usualPace) {
+        if (!inProgress.remove(reading)) {
             return;
         }
         double took = millis(now - reading.begunAt);
-        learnPace(reading, took, usualPace);
-        double before = Math.max(0, took - reading.ahead - reading.tokens * millisPerToken);
-        double known = faded(now);
-        others = known + NEWEST_WAIT * (before - known);
-        othersAt = now;
-        heardAt = now;
-        heard = true;
+        updatePace(reading, took, usualPace);
+        double before = Math.max(0, took - reading.aheadMillis - reading.tokens * millisPerToken);
+        double known = othersBacklogMillis(now);
+        othersBacklogMillis = known + NEWEST_BACKLOG_WEIGHT * (before - known);
+        othersBacklogAt = now;
+        lastCompletedAt = now;
+        hasCompletedAny = true;
     }
 
     /** Notes that a prompt is given up or has failed. */
-    void ended(Reading reading) {
-        underWay.remove(reading);
+    void aborted(Prefill reading) {
+        inProgress.remove(reading);
     }
 
-    private void learnPace(Reading reading, double took, double usualPace) {
+    private void updatePace(Prefill reading, double took, double usualPace) {
         double most = took / Math.max(1, reading.tokens);
         if (millisPerToken == 0) {
             millisPerToken = usualPace;
         }
         if (most < millisPerToken) {
-            millisPerToken += (heard ? FASTER : 1) * (most - millisPerToken);
-        } else if (reading.ahead == 0) {
-            millisPerToken += SLOWER * (most - millisPerToken);
+            millisPerToken += (hasCompletedAny ? FASTER_WEIGHT : 1) * (most - millisPerToken);
+        } else if (reading.aheadMillis == 0) {
+            millisPerToken += SLOWER_WEIGHT * (most - millisPerToken);
         }
     }
 
     /** Returns how long a prompt waits that is sent now, in milliseconds. */
     double waitMillis(long now, double usualPace) {
-        return ownMillis(now, usualPace) + Math.max(faded(now), overdue(now));
+        return ownBacklogMillis(now, usualPace) + Math.max(othersBacklogMillis(now), overdueMillis(now));
     }
 
     /** Returns how long it takes until a prompt is read that is sent now, in milliseconds. */
-    double endMillis(int tokens, long now, double usualPace) {
+    double completionMillis(int tokens, long now, double usualPace) {
         return waitMillis(now, usualPace) + tokens * pace(usualPace);
     }
 
     /** Returns whether the engine has ever read a prompt. */
-    boolean heard() {
-        return heard;
+    boolean hasCompletedAny() {
+        return hasCompletedAny;
     }
 
     /** Returns whether the engine has read a prompt since another one was begun, wherever that was. */
-    boolean heardSince(Reading other) {
-        return heard && heardAt - other.begunAt > 0;
+    boolean hasCompletedSince(Prefill other) {
+        return hasCompletedAny && lastCompletedAt - other.begunAt > 0;
     }
 
     /** Returns for how long the engine has answered nothing while it had the prompt, in milliseconds. */
-    double silentMillis(Reading reading, long now) {
-        long since = heard && heardAt - reading.begunAt > 0 ? heardAt : reading.begunAt;
+    double unresponsiveMillis(Prefill reading, long now) {
+        long since = hasCompletedAny && lastCompletedAt - reading.begunAt > 0 ? lastCompletedAt : reading.begunAt;
         return millis(now - since);
     }
 
@@ -121,27 +122,27 @@
         return millisPerToken == 0 ? usualPace : millisPerToken;
     }
 
-    private double ownMillis(long now, double usualPace) {
-        Reading oldest = underWay.peekFirst();
+    private double ownBacklogMillis(long now, double usualPace) {
+        Prefill oldest = inProgress.peekFirst();
         if (oldest == null) {
             return 0;
         }
-        int tokens = underWay.stream().mapToInt(reading -> reading.tokens).sum();
-        double done = Math.min(silentMillis(oldest, now), oldest.tokens * pace(usualPace));
+        int tokens = inProgress.stream().mapToInt(reading -> reading.tokens).sum();
+        double done = Math.min(unresponsiveMillis(oldest, now), oldest.tokens * pace(usualPace));
         return tokens * pace(usualPace) - done;
     }
 
     /** What others have waiting, without news: who sees a long queue adds nothing, so the engine works it off at its pace. */
-    private double faded(long now) {
-        return Math.max(0, others - millis(now - othersAt));
+    private double othersBacklogMillis(long now) {
+        return Math.max(0, othersBacklogMillis - millis(now - othersBacklogAt));
     }
 
-    private double overdue(long now) {
-        Reading oldest = underWay.peekFirst();
+    private double overdueMillis(long now) {
+        Prefill oldest = inProgress.peekFirst();
         if (oldest == null || millisPerToken == 0) {
             return 0;
         }
-        return Math.max(0, millis(now - oldest.begunAt) - oldest.ahead - oldest.tokens * millisPerToken);
+        return Math.max(0, millis(now - oldest.begunAt) - oldest.aheadMillis - oldest.tokens * millisPerToken);
     }
 
     private static double millis(long nanos) {
--- a/core/src/main/java/org/quetzalseam/core/generation/ReadingInPlace.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/InPlacePrefill.java
@@ -20,23 +20,23 @@
  *
  * @param <E> the engines
  */
-public final class ReadingInPlace<E> {
+public final class InPlacePrefill<E> {
     /**
      * How long a decode engine takes for a prompt, in multiples of what a prefill engine's answers show for it. A decode engine
      * reads at half the speed, but an answer's time has fixed parts and a queue in it as well, which take as long again.
      */
-    private static final double IN_PLACE = 1;
+    private static final double TIME_RATIO = 1;
     /** Part of the longest pause in time that a reading may take up: the tokens between its pieces take the rest. */
     private static final double PAUSE_SHARE = 0.75;
     /** From one reading's beginning to the next, in predicted readings: after each the streams go on for as long. */
-    private static final double SPACING = 2;
+    private static final double SPACING_RATIO = 2;
 
     private final Map<E, Long> freeAt = new HashMap<>();
     private int entries;
     private int rank;
 
     /** Sets among how many entries the engines are divided; until then no engine is this entry's. Ranks count from 0. */
-    public void entries(int counted, int place) {
+    public void updateEntries(int counted, int place) {
         entries = counted;
         rank = place;
     }
@@ -51,9 +51,9 @@
      * @param pauseMillis the longest pause between events that is in time; 0 where there is no such objective
      * @param now the monotonic time
      */
-    public Optional<E> engine(
+    public Optional<E> selectEngine(
             List<E> decoders, Function<E, String> id, int tokens, double millisPerToken, double pauseMillis, long now) {
-        double millis = millis(tokens, millisPerToken);
+        double millis = predictMillis(tokens, millisPerToken);
         if (entries == 0 || millis <= 0 || millis > PAUSE_SHARE * pauseMillis) {
             return Optional.empty();
         }
@@ -67,18 +67,19 @@
         return Optional.empty();
     }
 
-    private static double millis(int tokens, double millisPerToken) {
-        return IN_PLACE * tokens * millisPerToken;
+    private static double predictMillis(int tokens, double millisPerToken) {
+        return TIME_RATIO * tokens * millisPerToken;
     }
 
     /** Notes that a prompt is on its way to an engine. */
     public void begin(E engine, int tokens, double millisPerToken, long now) {
-        long spacing = Math.round(SPACING * millis(tokens, millisPerToken) * TimeUnit.MILLISECONDS.toNanos(1));
+        long spacing =
+                Math.round(SPACING_RATIO * predictMillis(tokens, millisPerToken) * TimeUnit.MILLISECONDS.toNanos(1));
         freeAt.put(engine, now + spacing);
     }
 
     /** Forgets engines that are gone. */
-    public void forget(Predicate<E> gone) {
+    public void removeEngines(Predicate<E> gone) {
         freeAt.keySet().removeIf(gone);
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/MemoryBooking.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/MemoryBooking.java
@@ -31,34 +31,34 @@
     }
 
     /** Notes a generation that ended as it should, and its length in any unit, the same for all. */
-    public void ended(TokenDemand demand, double length) {
-        lengths.ended(demand.expectedOutput(), length);
+    public void recordLength(TokenDemand demand, double length) {
+        lengths.recordLength(demand.expectedOutput(), length);
     }
 
     /** Returns the tokens to book. */
-    public int tokens(TokenDemand demand) {
-        return inBlocks(demand.prompt() + output(demand, bookedDeviations));
+    public int bookedTokens(TokenDemand demand) {
+        return roundUpToBlocks(demand.prompt() + outputTokens(demand, bookedDeviations));
     }
 
     /** Returns the tokens that must be free beside those that are booked. */
-    public int room(TokenDemand demand) {
-        return inBlocks(output(demand, admittedDeviations) - output(demand, bookedDeviations));
+    public int headroomTokens(TokenDemand demand) {
+        return roundUpToBlocks(outputTokens(demand, admittedDeviations) - outputTokens(demand, bookedDeviations));
     }
 
     /**
      * Returns what a generation is expected to cost, in tokens of memory times tokens of output: it holds its prompt, and on
      * average half of its output, for as long as its output takes.
      */
-    public double cost(TokenDemand demand) {
-        double output = output(demand, 0);
+    public double expectedCost(TokenDemand demand) {
+        double output = outputTokens(demand, 0);
         return (demand.prompt() + output / 2) * output;
     }
 
-    private double output(TokenDemand demand, double deviations) {
-        return Math.min(demand.maxOutput(), lengths.tokens(demand.expectedOutput(), deviations));
+    private double outputTokens(TokenDemand demand, double deviations) {
+        return Math.min(demand.maxOutput(), lengths.boundTokens(demand.expectedOutput(), deviations));
     }
 
-    private int inBlocks(double tokens) {
+    private int roundUpToBlocks(double tokens) {
         return (int) Math.ceil(tokens / blockTokens) * blockTokens;
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/OrderLease.java
@@ -16,46 +16,46 @@
     /** Renewals that may be missed before the lease is taken over. */
     private static final int MISSED_RENEWALS = 3;
     /** How long after the start of a renewal an order may leave: well within the shortest lease. */
-    private static final long ORDER_WITHIN_MILLIS = 1_000;
+    private static final long ORDER_VALID_MILLIS = 1_000;
 
     private final String self;
     private final long renewMillis;
-    private final long quietMillis;
+    private final long firstOrderDelayMillis;
     private String holder = "";
     private long epoch;
     private StorePosition position = StorePosition.NONE;
-    private long seenAt;
+    private long positionChangedAt;
     private long ordersFrom;
-    private long renewedSteady;
-    private long renewedWall;
-    private boolean renewed;
+    private long renewedMonotonicNanos;
+    private long renewedWallMillis;
+    private boolean hasRenewed;
 
     /**
      * Creates a view of a lease that has not been read yet.
      *
      * @param self this process's name
      * @param renewMillis how often a holder renews it
-     * @param quietMillis how long a new holder waits before its first order
+     * @param firstOrderDelayMillis how long a new holder waits before its first order
      */
     public OrderLease(String self, long renewMillis, long quietMillis) {
         this.self = self;
         this.renewMillis = renewMillis;
-        this.quietMillis = quietMillis;
+        this.firstOrderDelayMillis = quietMillis;
     }
 
     /** Notes the record as read or written. */
-    public void seen(String recordHolder, long recordEpoch, StorePosition recordPosition, long now) {
+    public void observe(String recordHolder, long recordEpoch, StorePosition recordPosition, long now) {
         if (!position.isBefore(recordPosition)) {
             return;
         }
         holder = recordHolder;
         epoch = recordEpoch;
         position = recordPosition;
-        seenAt = now;
+        positionChangedAt = now;
     }
 
     /** Returns whether the record has been read, or written, since the start. */
-    public boolean known() {
+    public boolean isKnown() {
         return !position.equals(StorePosition.NONE);
     }
 
@@ -76,19 +76,19 @@
     }
 
     /** Returns whether this process holds the lease, as far as it knows. */
-    public boolean held() {
-        return known() && holder.equals(self);
+    public boolean isHeld() {
+        return isKnown() && holder.equals(self);
     }
 
     /** Returns whether the holder has been silent for so long that the lease may be taken over. */
-    public boolean lapsed(long now) {
-        long silent = TimeUnit.NANOSECONDS.toMillis(now - seenAt);
-        return known() && !held() && silent > MISSED_RENEWALS * renewMillis;
+    public boolean hasLapsed(long now) {
+        long silent = TimeUnit.NANOSECONDS.toMillis(now - positionChangedAt);
+        return isKnown() && !isHeld() && silent > MISSED_RENEWALS * renewMillis;
     }
 
     /** Notes that this process has taken the lease; {@code after} tells whether another one held it before. */
-    public void taken(boolean after, long now) {
-        ordersFrom = after ? now + TimeUnit.MILLISECONDS.toNanos(quietMillis) : now;
+    public void acquired(boolean after, long now) {
+        ordersFrom = after ? now + TimeUnit.MILLISECONDS.toNanos(firstOrderDelayMillis) : now;
     }
 
     /**
@@ -98,9 +98,9 @@
      * @param sentWall time of day in milliseconds at which it was sent
      */
     public void renewed(long sentSteady, long sentWall) {
-        renewed = true;
-        renewedSteady = sentSteady;
-        renewedWall = sentWall;
+        hasRenewed = true;
+        renewedMonotonicNanos = sentSteady;
+        renewedWallMillis = sentWall;
     }
 
     /**
@@ -108,9 +108,9 @@
      * count the time for which a machine was suspended, and the time of day may jump.
      */
     public boolean mayOrder(long steady, long wall) {
-        long sinceSteady = TimeUnit.NANOSECONDS.toMillis(steady - renewedSteady);
-        long sinceWall = wall - renewedWall;
-        boolean recent = sinceSteady <= ORDER_WITHIN_MILLIS && Math.abs(sinceWall) <= ORDER_WITHIN_MILLIS;
-        return held() && renewed && recent && steady - ordersFrom >= 0;
+        long sinceSteady = TimeUnit.NANOSECONDS.toMillis(steady - renewedMonotonicNanos);
+        long sinceWall = wall - renewedWallMillis;
+        boolean recent = sinceSteady <= ORDER_VALID_MILLIS && Math.abs(sinceWall) <= ORDER_VALID_MILLIS;
+        return isHeld() && hasRenewed && recent && steady - ordersFrom >= 0;
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/OutputLengthModel.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/OutputLengthModel.java
@@ -11,7 +11,7 @@
  */
 public final class OutputLengthModel {
     /** Weight that the past keeps with each new length: about the last two hundred count. */
-    private static final double KEPT = 0.995;
+    private static final double DECAY = 0.995;
     /** Lengths that the assumptions below weigh as much as. */
     private static final double ASSUMED_WEIGHT = 12;
     /** Assumed slope of the line: an estimate that is twice as long is taken for half an octave, a usual regression. */
@@ -19,7 +19,7 @@
     /** Assumed spread of the estimates, as the variance of their logarithm: a factor of about 1.65 either way. */
     private static final double ASSUMED_VARIANCE = 0.25;
     /** Assumed error about the line, as the variance of the length's logarithm: a factor of about 1.5 either way. */
-    private static final double ASSUMED_ERROR = 0.16;
+    private static final double ASSUMED_ERROR_VARIANCE = 0.16;
 
     private double weight;
     private double meanEstimate;
@@ -29,20 +29,20 @@
     private double products;
 
     /** Notes a generation that ended as it should: the caller's estimate, and its length in any unit, both above 0. */
-    public void ended(double estimate, double length) {
+    public void recordLength(double estimate, double length) {
         if (!(estimate > 0) || !(length > 0)) {
             return;
         }
         double x = Math.log(estimate);
         double y = Math.log(length);
-        weight = weight * KEPT + 1;
+        weight = weight * DECAY + 1;
         double dx = x - meanEstimate;
         double dy = y - meanLength;
         meanEstimate += dx / weight;
         meanLength += dy / weight;
-        estimateSquares = estimateSquares * KEPT + dx * (x - meanEstimate);
-        lengthSquares = lengthSquares * KEPT + dy * (y - meanLength);
-        products = products * KEPT + dx * (y - meanLength);
+        estimateSquares = estimateSquares * DECAY + dx * (x - meanEstimate);
+        lengthSquares = lengthSquares * DECAY + dy * (y - meanLength);
+        products = products * DECAY + dx * (y - meanLength);
     }
 
     /**
@@ -51,10 +51,10 @@
      * @param estimate the caller's estimate, in tokens
      * @param deviations how many standard deviations above the median: 0 for one in two, 1.28 for nine in ten
      */
-    public double tokens(double estimate, double deviations) {
+    public double boundTokens(double estimate, double deviations) {
         double x = Math.log(Math.max(1, estimate));
         double usual = weight == 0 ? x : meanEstimate;
-        return Math.exp(usual + slope() * (x - usual) + deviations * Math.sqrt(error()));
+        return Math.exp(usual + slope() * (x - usual) + deviations * Math.sqrt(errorVariance()));
     }
 
     /**
@@ -63,9 +63,9 @@
      * @param estimate the caller's estimate, in tokens
      * @param deviations how many standard deviations above the median
      */
-    public double length(double estimate, double deviations) {
+    public double boundLength(double estimate, double deviations) {
         double x = Math.log(Math.max(1, estimate));
-        return Math.exp(meanLength + slope() * (x - meanEstimate) + deviations * Math.sqrt(error()));
+        return Math.exp(meanLength + slope() * (x - meanEstimate) + deviations * Math.sqrt(errorVariance()));
     }
 
     private double slope() {
@@ -74,9 +74,9 @@
     }
 
     /** The variance about the line, the assumption weighed in. */
-    private double error() {
+    private double errorVariance() {
         double slope = slope();
         double residue = lengthSquares - 2 * slope * products + slope * slope * estimateSquares;
-        return (Math.max(0, residue) + ASSUMED_WEIGHT * ASSUMED_ERROR) / (weight + ASSUMED_WEIGHT);
+        return (Math.max(0, residue) + ASSUMED_WEIGHT * ASSUMED_ERROR_VARIANCE) / (weight + ASSUMED_WEIGHT);
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/ReadingLine.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/PrefillQueue.java
@@ -15,46 +15,46 @@
  *
  * @param <T> what waits
  */
-public final class ReadingLine<T> {
+public final class PrefillQueue<T> {
     /**
      * Part of the time that its caller stays without an event for which a prompt waits at most. The rest is for memory, reading and the
      * first event: of a silence of four objectives of 0.9 s that leaves 1.3 s, more than an objective. Other shares weren't measured.
      */
-    private static final double HELD_SHARE = 0.65;
+    private static final double MAX_WAIT_SHARE = 0.65;
 
-    private final List<Place> places = new ArrayList<>();
+    private final List<Position> positions = new ArrayList<>();
 
     /** One prompt's place in the line. Its times are monotonic, in nanoseconds. */
-    public final class Place {
-        private final T waiting;
-        private final long enteredAt;
-        private final long inTimeUntil;
-        private final long until;
-
-        Place(T waiting, ReadingPool.Due due, long now) {
-            this.waiting = waiting;
-            this.enteredAt = now;
-            this.inTimeUntil = now + nanos(due.inTimeMillis());
-            this.until = now + nanos(HELD_SHARE * due.leftMillis());
+    public final class Position {
+        private final T prompt;
+        private final long queuedAt;
+        private final long objectiveAt;
+        private final long expiresAt;
+
+        Position(T waiting, PrefillPlanner.Deadline due, long now) {
+            this.prompt = waiting;
+            this.queuedAt = now;
+            this.objectiveAt = now + nanos(due.untilObjectiveMillis());
+            this.expiresAt = now + nanos(MAX_WAIT_SHARE * due.untilAbandonedMillis());
         }
 
         /** Returns what waits. */
-        public T waiting() {
-            return waiting;
+        public T prompt() {
+            return prompt;
         }
 
         /** Returns how long it has waited, in milliseconds. */
         public long waitedMillis(long now) {
-            return TimeUnit.NANOSECONDS.toMillis(now - enteredAt);
+            return TimeUnit.NANOSECONDS.toMillis(now - queuedAt);
         }
 
         /** Returns whether it has waited as long as is of use to its caller. */
-        public boolean expired(long now) {
-            return now - until >= 0;
+        public boolean hasExpired(long now) {
+            return now - expiresAt >= 0;
         }
 
-        private boolean late(long now) {
-            return now - inTimeUntil >= 0;
+        private boolean isLate(long now) {
+            return now - objectiveAt >= 0;
         }
     }
 
@@ -63,37 +63,39 @@
     }
 
     /** Takes a prompt into the line. */
-    public Place enter(T waiting, ReadingPool.Due due, long now) {
-        Place place = new Place(waiting, due, now);
-        places.add(place);
+    public Position add(T waiting, PrefillPlanner.Deadline due, long now) {
+        Position place = new Position(waiting, due, now);
+        positions.add(place);
         return place;
     }
 
     /** Takes a prompt out of the line. Harmless when it isn't in it. */
-    public void leave(Place place) {
-        places.remove(place);
+    public void remove(Position place) {
+        positions.remove(place);
     }
 
     /** Returns whether nothing waits. */
     public boolean isEmpty() {
-        return places.isEmpty();
+        return positions.isEmpty();
     }
 
     /** Returns how many wait. */
     public int size() {
-        return places.size();
+        return positions.size();
     }
 
     /** Returns whether a prompt that comes now has to let others begin first. */
-    public boolean mustQueue(ReadingPool.Due due, long now) {
-        return due.inTimeMillis() > 0 ? places.stream().anyMatch(place -> !place.late(now)) : !places.isEmpty();
+    public boolean mustQueue(PrefillPlanner.Deadline due, long now) {
+        return due.untilObjectiveMillis() > 0
+                ? positions.stream().anyMatch(place -> !place.isLate(now))
+                : !positions.isEmpty();
     }
 
     /** Returns those who wait, in the order in which they are to be begun. */
-    public List<Place> order(long now) {
-        List<Place> order = new ArrayList<>(places);
-        order.sort(Comparator.<Place, Boolean>comparing(place -> place.late(now))
-                .thenComparingLong(place -> place.late(now) ? place.enteredAt - now : place.inTimeUntil - now));
+    public List<Position> inOrder(long now) {
+        List<Position> order = new ArrayList<>(positions);
+        order.sort(Comparator.<Position, Boolean>comparing(place -> place.isLate(now))
+                .thenComparingLong(place -> place.isLate(now) ? place.queuedAt - now : place.objectiveAt - now));
         return order;
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/generation/StageSplit.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/StageSplit.java
@@ -16,11 +16,11 @@
  */
 public final class StageSplit {
     /** Weight of the newest sample: with a sample a second, about the last six seconds count. */
-    private static final double NEWEST = 0.25;
+    private static final double NEWEST_WEIGHT = 0.25;
     /** Samples after a change, or at first, before load decides: until the averages have taken hold. */
     private static final int SETTLE_SAMPLES = 8;
     /** Samples for which the engines must have been the same before the assumption is followed: at a start they come one by one. */
-    private static final int SAME_SAMPLES = 3;
+    private static final int UNCHANGED_SAMPLES = 3;
     /** Share of the time that prefill engines may be busy after one of them has left: room for bursts of twice the mean. */
     private static final double SPARE_PREFILL_BUSY = 0.5;
     /** Use of decode memory from which another decode engine is wanted. */
@@ -31,15 +31,15 @@
     private static final double SPARE_FILL = 0.55;
 
     /** Part of a pool's engines that change at once: what is out meanwhile must not be missed. */
-    private static final double MOVED_AT_ONCE = 0.125;
+    private static final double MAX_MOVED_SHARE = 0.125;
 
     private final double assumedPrefillShare;
     private double busy;
     private double fill;
     private int samples;
     private boolean loadSeen;
-    private Set<String> known = Set.of();
-    private int unchanged;
+    private Set<String> knownEngines = Set.of();
+    private int unchangedSamples;
 
     /**
      * An engine's change of stage. Immutable.
@@ -61,8 +61,8 @@
     /** Notes which engines there are; while their number grows or shrinks no assumption is followed. */
     private void noteEngines(List<EngineSample> engines) {
         Set<String> present = engines.stream().map(EngineSample::id).collect(Collectors.toSet());
-        unchanged = present.equals(known) ? unchanged + 1 : 0;
-        known = present;
+        unchangedSamples = present.equals(knownEngines) ? unchangedSamples + 1 : 0;
+        knownEngines = present;
     }
 
     /** Takes the load of all engines at a moment, about once a second. */
@@ -78,8 +78,8 @@
         if (!loadSeen) {
             return;
         }
-        busy += (samples == 0 ? 1 : NEWEST) * (busyNow - busy);
-        fill += (samples == 0 ? 1 : NEWEST) * (fillNow - fill);
+        busy += (samples == 0 ? 1 : NEWEST_WEIGHT) * (busyNow - busy);
+        fill += (samples == 0 ? 1 : NEWEST_WEIGHT) * (fillNow - fill);
         samples++;
     }
 
@@ -91,7 +91,7 @@
     }
 
     /** Notes that an engine's stage has been changed: what was seen before counts no more. */
-    public void changed() {
+    public void stageChanged() {
         samples = 0;
     }
 
@@ -105,17 +105,17 @@
         return loadSeen ? byLoad(engines, prefill, decode) : byAssumption(engines, prefill, decode);
     }
 
-    private static int movedAtOnce(int engines) {
-        return Math.max(1, (int) (engines * MOVED_AT_ONCE));
+    private static int maxMoves(int engines) {
+        return Math.max(1, (int) (engines * MAX_MOVED_SHARE));
     }
 
     private List<Change> byAssumption(List<EngineSample> engines, int prefill, int decode) {
-        if (unchanged < SAME_SAMPLES) {
+        if (unchangedSamples < UNCHANGED_SAMPLES) {
             return List.of();
         }
         int all = prefill + decode;
         int wanted = (int) Math.max(1, Math.min(all - 1, Math.round(all * assumedPrefillShare)));
-        int moved = Math.min(Math.abs(prefill - wanted), movedAtOnce(all));
+        int moved = Math.min(Math.abs(prefill - wanted), maxMoves(all));
         String reason = "assumed=" + wanted + " prefill=" + prefill + " decode=" + decode;
         return prefill > wanted
                 ? changes(engines, Stage.PREFILL, Stage.DECODE, moved, reason)
@@ -124,7 +124,7 @@
 
     private List<Change> byLoad(List<EngineSample> engines, int prefill, int decode) {
         String reason = String.format("busy=%.2f fill=%.2f prefill=%d decode=%d", busy, fill, prefill, decode);
-        if (prefill == 0 && unchanged >= SAME_SAMPLES) {
+        if (prefill == 0 && unchangedSamples >= UNCHANGED_SAMPLES) {
             // However full the others are: prompts read between their tokens hold up every stream that they run.
             return changes(engines, Stage.DECODE, Stage.PREFILL, 1, reason);
         }
@@ -133,7 +133,7 @@
         }
         if (fill > SHORT_FILL) {
             int moved = sparePrefill(prefill, decode);
-            return relieves(prefill, decode, moved)
+            return isWorthMoving(prefill, decode, moved)
                     ? changes(engines, Stage.PREFILL, Stage.DECODE, moved, reason)
                     : List.of();
         }
@@ -148,7 +148,7 @@
      * with one of two prefill engines at a decode pool that is filled to three fifths, the next burst finds the other pool
      * short, and an engine sent back is out once more.
      */
-    private boolean relieves(int prefill, int decode, int moved) {
+    private boolean isWorthMoving(int prefill, int decode, int moved) {
         double before = Math.max(busy / prefill, fill);
         double after = Math.max(busy / (prefill - moved), fill * decode / (decode + moved));
         return before - after > (double) moved / (prefill + decode);
@@ -157,7 +157,7 @@
     /** Returns how many prefill engines the others can do without. */
     private int sparePrefill(int prefill, int decode) {
         int spare = 0;
-        while (spare < movedAtOnce(prefill + decode)
+        while (spare < maxMoves(prefill + decode)
                 && prefill - spare > 1
                 && busy / (prefill - spare - 1) < SPARE_PREFILL_BUSY) {
             spare++;
@@ -168,7 +168,7 @@
     /** Returns how many decode engines the others can do without. */
     private int spareDecode(int prefill, int decode) {
         int spare = 0;
-        while (spare < movedAtOnce(prefill + decode)
+        while (spare < maxMoves(prefill + decode)
                 && decode - spare > 1
                 && fill * decode / (decode - spare - 1) < SPARE_FILL) {
             spare++;
--- a/core/src/main/java/org/quetzalseam/core/generation/TokenDemand.java
+++ b/core/src/main/java/org/quetzalseam/core/generation/TokenDemand.java
@@ -9,7 +9,7 @@
  */
 public record TokenDemand(int prompt, int maxOutput, int expectedOutput) {
     /** Returns the most memory that it can come to take, in tokens. */
-    public int most() {
+    public int maxTokens() {
         return prompt + maxOutput;
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/limits/ConnectionShare.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/ConnectionShare.java
@@ -8,9 +8,9 @@
  */
 public final class ConnectionShare {
     /** Part of the endpoint's connections that is shared out: the rest is for entries that have started but aren't counted yet. */
-    private static final double SHARED_OUT = 0.8;
+    private static final double USABLE_SHARE = 0.8;
     /** Fewest connections of an entry: one for a request, and one for a call that runs nothing. */
-    private static final int FEWEST = 2;
+    private static final int MIN_CONNECTIONS = 2;
 
     private ConnectionShare() {}
 
@@ -21,7 +21,7 @@
      * @param entries how many entries there are; 0 if that isn't known yet
      */
     public static int of(int all, int entries) {
-        int sharing = entries > 0 ? entries : RetryAllowance.ENTRIES_ASSUMED;
-        return Math.max(FEWEST, (int) (all * SHARED_OUT / sharing));
+        int sharing = entries > 0 ? entries : RetryAllowance.ASSUMED_ENTRIES;
+        return Math.max(MIN_CONNECTIONS, (int) (all * USABLE_SHARE / sharing));
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/limits/EntryLimiter.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/EntryLimiter.java
@@ -23,12 +23,12 @@
         CONCURRENCY
     }
 
-    private static final class Use {
+    private static final class Usage {
         TokenBucket bucket;
         double rate;
         int running;
 
-        Use(double rate, long now) {
+        Usage(double rate, long now) {
             this.rate = rate;
             this.bucket = bucketFor(rate, now);
         }
@@ -38,16 +38,16 @@
         }
     }
 
-    private final Map<String, Use> uses = new HashMap<>();
+    private final Map<String, Usage> usages = new HashMap<>();
 
     /** Counts a request in, or says which limit it would break. */
     public synchronized Verdict enter(EntrySpec entry, int processes, long now) {
         double rate = entry.limits().ratePerSecond() / Math.max(1, processes);
         int concurrency = Math.max(1, entry.limits().concurrency() / Math.max(1, processes));
-        Use use = uses.computeIfAbsent(entry.name(), unused -> new Use(rate, now));
+        Usage use = usages.computeIfAbsent(entry.name(), unused -> new Usage(rate, now));
         if (use.rate != rate) {
             use.rate = rate;
-            use.bucket = Use.bucketFor(rate, now);
+            use.bucket = Usage.bucketFor(rate, now);
         }
         if (use.running >= concurrency) {
             return Verdict.CONCURRENCY;
@@ -61,7 +61,7 @@
 
     /** Counts a request out. */
     public synchronized void leave(String entry) {
-        Use use = uses.get(entry);
+        Usage use = usages.get(entry);
         if (use == null || use.running == 0) {
             throw new IllegalStateException("entry " + entry + ": a request left that had not entered");
         }
@@ -70,7 +70,7 @@
 
     /** Returns the nanoseconds after which a request refused for its rate may come again. */
     public synchronized long retryAfterNanos(String entry, long now) {
-        Use use = uses.get(entry);
+        Usage use = usages.get(entry);
         return use == null ? 0 : use.bucket.nanosUntilNext(now);
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/limits/IdleLimit.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/IdleLimit.java
@@ -11,25 +11,25 @@
  */
 public final class IdleLimit {
     /** Part of the rest that led to a loss which is still taken to be safe. */
-    private static final double SAFE_PART = 0.5;
+    private static final double SAFE_SHARE = 0.5;
     /** Time without a loss after which the limit has doubled, in nanoseconds: a restart, a common cause, is over by then. */
     private static final long DOUBLING_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    private long limit = Long.MAX_VALUE;
+    private long limitAtLossNanos = Long.MAX_VALUE;
     private long lostAt;
 
     /** Notes that a request was lost on a connection that had rested for a time. */
-    public void lost(long restNanos, long now) {
-        limit = Math.min(atTime(now), (long) (restNanos * SAFE_PART));
+    public void recordLoss(long restNanos, long now) {
+        limitAtLossNanos = Math.min(limitNanos(now), (long) (restNanos * SAFE_SHARE));
         lostAt = now;
     }
 
     /** Returns the longest rest after which a connection is still used, in nanoseconds. */
-    public long atTime(long now) {
-        if (limit == Long.MAX_VALUE) {
-            return limit;
+    public long limitNanos(long now) {
+        if (limitAtLossNanos == Long.MAX_VALUE) {
+            return limitAtLossNanos;
         }
         double doublings = (double) (now - lostAt) / DOUBLING_NANOS;
-        return (long) Math.min(limit * Math.pow(2, doublings), Long.MAX_VALUE);
+        return (long) Math.min(limitAtLossNanos * Math.pow(2, doublings), Long.MAX_VALUE);
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/limits/RetryAllowance.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/RetryAllowance.java
@@ -8,7 +8,7 @@
  *
  * <p>The common budget for a window is {@code ratio} times the requests plus a slack. An entry takes {@code ratio} times its
  * own requests, which adds up to the common ratio whatever the entries' shares of traffic, and an even part of the slack; until
- * it knows how many entries there are, so small a part that it holds for {@link #ENTRIES_ASSUMED} of them.
+ * it knows how many entries there are, so small a part that it holds for {@link #ASSUMED_ENTRIES} of them.
  *
  * <p>A process doesn't know what an earlier one of the same entry has spent in the window. So an entry's part of the slack has two
  * parts: one for a process that has been up for a whole window, and a smaller one for all younger ones together, which grows
@@ -16,7 +16,7 @@
  */
 public final class RetryAllowance {
     /** Most entries for which the parts of the slack add up to no more than the whole: a large site of one region. */
-    static final int ENTRIES_ASSUMED = 24;
+    static final int ASSUMED_ENTRIES = 24;
     /** Part of the ratio that is used, as requests and retries fall into sliding windows that don't quite agree. */
     private static final double RATIO_USED = 0.8;
     /** Part of the slack for a process that has been up for a window. */
@@ -28,7 +28,7 @@
     private double ratio;
     private double commonSlack;
     private long windowNanos;
-    private int entries = ENTRIES_ASSUMED;
+    private int entries = ASSUMED_ENTRIES;
     private final Deque<Long> requests = new ArrayDeque<>();
     private final Deque<Long> retries = new ArrayDeque<>();
 
@@ -42,11 +42,11 @@
      */
     public RetryAllowance(double ratio, double slack, long windowNanos, long startedAt) {
         this.startedAt = startedAt;
-        change(ratio, slack, windowNanos);
+        updateBudget(ratio, slack, windowNanos);
     }
 
     /** Takes another common budget. What has been spent stays spent. */
-    public void change(double ratio, double slack, long windowNanos) {
+    public void updateBudget(double ratio, double slack, long windowNanos) {
         if (!(ratio >= 0 && ratio <= 1)) {
             throw new IllegalArgumentException("ratio: expected 0 to 1, got " + ratio);
         }
@@ -56,7 +56,7 @@
     }
 
     /** Takes the number of entries that share the budget. */
-    public void entries(int entries) {
+    public void updateEntryCount(int entries) {
         this.entries = Math.max(1, entries);
     }
 
@@ -67,18 +67,18 @@
     }
 
     /** Notes a caller's request. */
-    public void request(long now) {
+    public void recordRequest(long now) {
         requests.addLast(now);
         trim(now);
     }
 
     /** Takes one retry. Returns false when none is left. */
-    public boolean retry(long now) {
-        return retries(now, 1);
+    public boolean tryRetry(long now) {
+        return tryRetries(now, 1);
     }
 
     /** Takes several retries, as many as calls beyond a request's first will follow. Returns false, and takes none, when fewer are left. */
-    public boolean retries(long now, int count) {
+    public boolean tryRetries(long now, int count) {
         trim(now);
         if (retries.size() + count > ratio * requests.size() + slack(now)) {
             return false;
@@ -92,13 +92,13 @@
     /**
      * What a decision on a retry rests on. Immutable.
      *
-     * @param left retries that are left, rounded down
+     * @param retriesLeft retries that are left, rounded down
      * @param requests requests in the window
      * @param retries retries in the window
      * @param slack this entry's part of the slack
      * @param upNanos how long this entry's process has been up
      */
-    public record Inputs(int left, int requests, int retries, double slack, long upNanos) {}
+    public record Inputs(int retriesLeft, int requests, int retries, double slack, long upNanos) {}
 
     /** Returns what a decision would rest on now, for the log. */
     public Inputs inputs(long now) {
--- a/core/src/main/java/org/quetzalseam/core/limits/RetryBudget.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/RetryBudget.java
@@ -9,8 +9,8 @@
  * <p>Every request adds {@code ratio} to its owner's balance, every retry takes 1; the balance is capped.
  */
 public final class RetryBudget {
-    private static final double CAP = 20;
-    private static final double INITIAL = 5;
+    private static final double MAX_BALANCE = 20;
+    private static final double INITIAL_BALANCE = 5;
 
     private final double ratio;
     private final Map<String, Double> balances = new HashMap<>();
@@ -24,13 +24,13 @@
     }
 
     /** Notes a new request of the owner. */
-    public synchronized void request(String owner) {
-        balances.put(owner, Math.min(CAP, balances.getOrDefault(owner, INITIAL) + ratio));
+    public synchronized void recordRequest(String owner) {
+        balances.put(owner, Math.min(MAX_BALANCE, balances.getOrDefault(owner, INITIAL_BALANCE) + ratio));
     }
 
     /** Takes one retry from the owner's budget. Returns false when it is used up. */
-    public synchronized boolean retry(String owner) {
-        double balance = balances.getOrDefault(owner, INITIAL);
+    public synchronized boolean tryRetry(String owner) {
+        double balance = balances.getOrDefault(owner, INITIAL_BALANCE);
         if (balance < 1) {
             return false;
         }
--- a/core/src/main/java/org/quetzalseam/core/limits/TokenBucket.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/TokenBucket.java
@@ -2,12 +2,12 @@
 
 /** A token bucket that starts full. Not thread-safe. Times are nanoseconds of one monotonic clock. */
 public final class TokenBucket {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final double perSecond;
     private final double burst;
     private double tokens;
-    private long at;
+    private long refilledAt;
 
     /**
      * Creates a full bucket.
@@ -24,7 +24,7 @@
         this.perSecond = perSecond;
         this.burst = burst;
         this.tokens = burst;
-        this.at = now;
+        this.refilledAt = now;
     }
 
     /** Takes one token. Returns false, and takes nothing, when there is none. */
@@ -40,11 +40,11 @@
     /** Returns the nanoseconds until a token will be there; 0 when one is there now. */
     public long nanosUntilNext(long now) {
         refill(now);
-        return tokens >= 1 ? 0 : (long) ((1 - tokens) / perSecond * NANOS);
+        return tokens >= 1 ? 0 : (long) ((1 - tokens) / perSecond * NANOS_PER_SECOND);
     }
 
     private void refill(long now) {
-        tokens = Math.min(burst, tokens + Math.max(0, now - at) / NANOS * perSecond);
-        at = now;
+        tokens = Math.min(burst, tokens + Math.max(0, now - refilledAt) / NANOS_PER_SECOND * perSecond);
+        refilledAt = now;
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/drain/AnswerTimeTest.java
+++ b/core/src/test/java/org/quetzalseam/core/drain/AnswerTimeModelTest.java
@@ -5,16 +5,16 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class AnswerTimeTest {
+class AnswerTimeModelTest {
     private static final int ANSWERS = 400;
     private static final double SURE = 3;
 
-    private final AnswerTime times = new AnswerTime();
+    private final AnswerTimeModel times = new AnswerTimeModel();
 
     @Test
-    void nothingIsForetoldFromAHandfulOfAnswers() {
+    void noBoundIsGivenAfterTooFewAnswers() {
         for (int i = 0; i < 7; i++) {
-            times.ended(1, 100);
+            times.recordAnswer(1, 100);
         }
         assertThat(times.boundMillis(1, SURE)).isEqualTo(Long.MAX_VALUE);
     }
@@ -22,7 +22,7 @@
     @Test
     void answersThatTakeAboutTheSameTimeAreBoundClosely() {
         for (int i = 0; i < ANSWERS; i++) {
-            times.ended(1, 90 + i % 20);
+            times.recordAnswer(1, 90 + i % 20);
         }
         assertThat(times.boundMillis(1, SURE)).isBetween(105L, 150L);
     }
@@ -33,7 +33,7 @@
         Random random = new Random(7);
         for (int i = 0; i < ANSWERS; i++) {
             double size = Math.exp(4 + 1.2 * random.nextGaussian());
-            times.ended(size * Math.exp(0.35 * random.nextGaussian()), Math.round(40 * size));
+            times.recordAnswer(size * Math.exp(0.35 * random.nextGaussian()), Math.round(40 * size));
         }
         assertThat(times.boundMillis(10, SURE)).isLessThan(times.boundMillis(500, SURE) / 10);
         int outlasted = 0;
--- a/core/src/test/java/org/quetzalseam/core/drain/ComingBackTest.java
+++ b/core/src/test/java/org/quetzalseam/core/drain/RetryAfterTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When the callers whom a leaving entry has refused come back. */
-class ComingBackTest {
+class RetryAfterTest {
     private static final long BEGUN = 5_000_000_000L;
     private static final long GRACE_MILLIS = 8_000;
     /** From the end of a process until its successor listens, in milliseconds. */
@@ -19,17 +19,17 @@
     private final Random random = new Random(11);
 
     /** Returns when callers come back who are refused at a steady rate, in milliseconds after the signal. */
-    private long[] returns() {
+    private long[] retryTimes() {
         return LongStream.iterate(3_100, at -> at < 7_500, at -> at + 20)
-                .map(at -> at + grace.comeBackMillis(BEGUN + TimeUnit.MILLISECONDS.toNanos(at), random.nextDouble()))
+                .map(at -> at + grace.retryAfterMillis(BEGUN + TimeUnit.MILLISECONDS.toNanos(at), random.nextDouble()))
                 .sorted()
                 .toArray();
     }
 
     /** A successor has just started and knows nothing yet: whoever was refused in seconds would be there at one moment. */
     @Test
-    void thoseWhoWereRefusedOneAfterAnotherDoNotComeBackAtOneMoment() {
-        long[] returns = returns();
+    void callersRefusedOverSecondsDoNotRetryAtOneMoment() {
+        long[] returns = retryTimes();
         int most = 0;
         for (long from : returns) {
             most = Math.max(most, (int) Arrays.stream(returns)
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void nobodyComesBackBeforeTheSuccessorListens() {
-        assertThat(returns()[0]).isGreaterThan(GRACE_MILLIS + START_MILLIS - 400);
+    void noCallerRetriesBeforeTheSuccessorListens() {
+        assertThat(retryTimes()[0]).isGreaterThan(GRACE_MILLIS + START_MILLIS - 400);
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/generation/ReadingInPlaceTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/InPlacePrefillTest.java
@@ -16,35 +16,35 @@
  * Prefill engines answer for a prompt of 5,000 tokens in 175 ms; a decode engine takes about as long, in which its streams stand
  * nearly still. Callers are promised pauses of 300 ms at most.
  */
-class ReadingInPlaceTest {
+class InPlacePrefillTest {
     private static final double PACE = 0.035;
     private static final double PAUSE = 300;
     private static final int TOKENS = 5_000;
     private static final List<String> DECODERS = List.of("a", "b", "c", "d");
 
-    private final ReadingInPlace<String> reading = new ReadingInPlace<>();
+    private final InPlacePrefill<String> inPlace = new InPlacePrefill<>();
     private long now = 7;
 
-    private Optional<String> engine(int tokens) {
-        return engine(reading, tokens);
+    private Optional<String> selectEngine(int tokens) {
+        return selectEngine(inPlace, tokens);
     }
 
-    private Optional<String> engine(ReadingInPlace<String> entry, int tokens) {
-        return entry.engine(DECODERS, Function.identity(), tokens, PACE, PAUSE, now);
+    private Optional<String> selectEngine(InPlacePrefill<String> entry, int tokens) {
+        return entry.selectEngine(DECODERS, Function.identity(), tokens, PACE, PAUSE, now);
     }
 
     @Test
-    void beforeTheEntriesAreCountedNoEngineIsTaken() {
-        assertThat(engine(TOKENS)).isEmpty();
+    void beforeTheEntriesAreCountedNoEngineIsSelected() {
+        assertThat(selectEngine(TOKENS)).isEmpty();
     }
 
     @Test
-    void eachEngineIsOneEntrysAndAnEntryWithoutOneReadsNone() {
+    void eachEngineBelongsToOneEntryAndAnEntryWithoutEnginesSelectsNone() {
         Map<String, Integer> owners = new HashMap<>();
         for (int rank = 0; rank < 5; rank++) {
-            ReadingInPlace<String> entry = new ReadingInPlace<>();
-            entry.entries(5, rank);
-            engine(entry, TOKENS).ifPresent(taken -> owners.merge(taken, 1, Integer::sum));
+            InPlacePrefill<String> entry = new InPlacePrefill<>();
+            entry.updateEntries(5, rank);
+            selectEngine(entry, TOKENS).ifPresent(taken -> owners.merge(taken, 1, Integer::sum));
         }
         assertThat(owners)
                 .containsOnlyKeys(DECODERS)
@@ -53,49 +53,49 @@
 
     @Test
     void anEntryWithSeveralEnginesUsesThoseThatAreFree() {
-        reading.entries(2, 1);
-        assertThat(engine(TOKENS)).contains("b");
-        reading.begin("b", TOKENS, PACE, now);
-        assertThat(engine(TOKENS)).contains("d");
-        reading.begin("d", TOKENS, PACE, now);
-        assertThat(engine(TOKENS)).isEmpty();
+        inPlace.updateEntries(2, 1);
+        assertThat(selectEngine(TOKENS)).contains("b");
+        inPlace.begin("b", TOKENS, PACE, now);
+        assertThat(selectEngine(TOKENS)).contains("d");
+        inPlace.begin("d", TOKENS, PACE, now);
+        assertThat(selectEngine(TOKENS)).isEmpty();
         now += TimeUnit.MILLISECONDS.toNanos(360);
-        assertThat(engine(TOKENS)).contains("b");
+        assertThat(selectEngine(TOKENS)).contains("b");
     }
 
     @Test
-    void aPromptThatWouldHoldUpTheStreamsForTooLongIsNotReadInPlace() {
-        reading.entries(1, 0);
-        assertThat(engine(6_400)).isPresent();
-        assertThat(engine(6_500)).isEmpty();
+    void aPromptThatWouldPauseTheStreamsForTooLongIsNotPrefilledInPlace() {
+        inPlace.updateEntries(1, 0);
+        assertThat(selectEngine(6_400)).isPresent();
+        assertThat(selectEngine(6_500)).isEmpty();
     }
 
     @Test
-    void nothingIsReadInPlaceWhereThePaceOrTheObjectiveIsUnknown() {
-        reading.entries(1, 0);
-        assertThat(reading.engine(DECODERS, Function.identity(), TOKENS, 0, PAUSE, now))
+    void nothingIsPrefilledInPlaceWhereThePaceOrTheObjectiveIsUnknown() {
+        inPlace.updateEntries(1, 0);
+        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, 0, PAUSE, now))
                 .isEmpty();
-        assertThat(reading.engine(DECODERS, Function.identity(), TOKENS, PACE, 0, now))
+        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, PACE, 0, now))
                 .isEmpty();
     }
 
     /** Five entries under a burst, seeded: whatever they ask for, no two readings at one engine overlap, and each leaves a gap. */
     @Test
-    void readingsOfAllEntriesAtOneEngineNeverOverlap() {
+    void prefillsOfAllEntriesAtOneEngineNeverOverlap() {
         Random random = new Random(4);
         Map<String, Long> freeAt = new HashMap<>();
-        List<ReadingInPlace<String>> entries = new ArrayList<>();
+        List<InPlacePrefill<String>> entries = new ArrayList<>();
         for (int rank = 0; rank < 5; rank++) {
-            ReadingInPlace<String> entry = new ReadingInPlace<>();
-            entry.entries(5, rank);
+            InPlacePrefill<String> entry = new InPlacePrefill<>();
+            entry.updateEntries(5, rank);
             entries.add(entry);
         }
         int read = 0;
         for (int i = 0; i < 2_000; i++) {
             now += TimeUnit.MILLISECONDS.toNanos(random.nextInt(40));
             int tokens = 500 + random.nextInt(6_500);
-            ReadingInPlace<String> entry = entries.get(random.nextInt(5));
-            Optional<String> engine = engine(entry, tokens);
+            InPlacePrefill<String> entry = entries.get(random.nextInt(5));
+            Optional<String> engine = selectEngine(entry, tokens);
             if (engine.isPresent()) {
                 long millis = Math.round(tokens * PACE);
                 assertThat(freeAt.getOrDefault(engine.get(), now)).isLessThanOrEqualTo(now);
--- a/core/src/test/java/org/quetzalseam/core/generation/MemoryBookingTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/MemoryBookingTest.java
@@ -28,11 +28,11 @@
         return new Drawn(new TokenDemand(prompt, MAX_OUTPUT, estimate), output);
     }
 
-    private MemoryBooking taught(double booked, double admitted) {
+    private MemoryBooking trained(double booked, double admitted) {
         MemoryBooking booking = new MemoryBooking(booked, admitted, BLOCK);
         for (int i = 0; i < 1_000; i++) {
             Drawn drawn = draw();
-            booking.ended(drawn.demand(), drawn.output() / 77.0);
+            booking.recordLength(drawn.demand(), drawn.output() / 77.0);
         }
         return booking;
     }
@@ -46,8 +46,9 @@
             int needed = 0;
             List<Drawn> admitted = new ArrayList<>();
             Drawn next = draw();
-            while (booked + booking.tokens(next.demand()) + booking.room(next.demand()) <= ENGINE_TOKENS) {
-                booked += booking.tokens(next.demand());
+            while (booked + booking.bookedTokens(next.demand()) + booking.headroomTokens(next.demand())
+                    <= ENGINE_TOKENS) {
+                booked += booking.bookedTokens(next.demand());
                 admitted.add(next);
                 needed += next.demand().prompt() + next.output();
                 next = draw();
@@ -61,8 +62,8 @@
     @Test
     void twoSizesLetMoreRunThanOneThatIsAsSafe() {
         int engines = 2_000;
-        int[] oneSize = fill(taught(1.8, 1.8), engines);
-        int[] twoSizes = fill(taught(0.7, 2.2), engines);
+        int[] oneSize = fill(trained(1.8, 1.8), engines);
+        int[] twoSizes = fill(trained(0.7, 2.2), engines);
         assertThat(twoSizes[0]).as("running").isGreaterThan((int) (1.05 * oneSize[0]));
         assertThat(twoSizes[1])
                 .as("engines whose memory would run out if all ended at once")
@@ -72,27 +73,27 @@
     @Test
     void bookingTheEstimateAloneLetsMemoryRunOut() {
         int engines = 500;
-        assertThat(fill(taught(0.01, 0.02), engines)[1]).isGreaterThan(engines / 10);
+        assertThat(fill(trained(0.01, 0.02), engines)[1]).isGreaterThan(engines / 10);
     }
 
     @Test
     void noMoreIsBookedThanTheGenerationMayMake() {
         MemoryBooking booking = new MemoryBooking(3, 4, BLOCK);
         TokenDemand demand = new TokenDemand(100, 80, 80);
-        assertThat(booking.tokens(demand)).isEqualTo(192);
-        assertThat(booking.room(demand)).isZero();
+        assertThat(booking.bookedTokens(demand)).isEqualTo(192);
+        assertThat(booking.headroomTokens(demand)).isZero();
     }
 
     @Test
-    void whatIsShorterAndSmallerCostsLess() {
-        MemoryBooking booking = taught(0.7, 2.2);
-        double small = booking.cost(new TokenDemand(1_000, MAX_OUTPUT, 1_000));
-        assertThat(small).isLessThan(booking.cost(new TokenDemand(9_000, MAX_OUTPUT, 1_000)));
-        assertThat(small).isLessThan(booking.cost(new TokenDemand(1_000, MAX_OUTPUT, 9_000)));
+    void shorterPromptsAndOutputsCostLess() {
+        MemoryBooking booking = trained(0.7, 2.2);
+        double small = booking.expectedCost(new TokenDemand(1_000, MAX_OUTPUT, 1_000));
+        assertThat(small).isLessThan(booking.expectedCost(new TokenDemand(9_000, MAX_OUTPUT, 1_000)));
+        assertThat(small).isLessThan(booking.expectedCost(new TokenDemand(1_000, MAX_OUTPUT, 9_000)));
     }
 
     @Test
-    void lessRoomThanIsBookedMakesNoSense() {
+    void fewerAdmittedThanBookedDeviationsAreRejected() {
         assertThatThrownBy(() -> new MemoryBooking(2, 1, BLOCK)).hasMessageContaining("admitted deviations");
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/generation/OrderLeaseTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/OrderLeaseTest.java
@@ -7,18 +7,18 @@
 
 class OrderLeaseTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final long RENEW = 4_000;
-    private static final long QUIET = 5_000;
+    private static final long RENEW_MILLIS = 4_000;
+    private static final long FIRST_ORDER_DELAY_MILLIS = 5_000;
 
-    private final OrderLease lease = new OrderLease("me", RENEW, QUIET);
+    private final OrderLease lease = new OrderLease("me", RENEW_MILLIS, FIRST_ORDER_DELAY_MILLIS);
 
     private static StorePosition at(long revision) {
         return new StorePosition(StorePosition.NO_ERA, revision);
     }
 
     private void hold() {
-        lease.seen("me", 1, at(10), 0);
-        lease.taken(false, 0);
+        lease.observe("me", 1, at(10), 0);
+        lease.acquired(false, 0);
     }
 
     @Test
@@ -48,8 +48,8 @@
 
     @Test
     void aNewHolderWaitsUntilOrdersOfTheOneBeforeAreLongPast() {
-        lease.seen("me", 2, at(11), 0);
-        lease.taken(true, 0);
+        lease.observe("me", 2, at(11), 0);
+        lease.acquired(true, 0);
         lease.renewed(SECOND, 1_000);
         assertThat(lease.mayOrder(SECOND, 1_000)).isFalse();
         lease.renewed(6 * SECOND, 6_000);
@@ -58,29 +58,29 @@
 
     @Test
     void aLeaseIsTakenOverOnlyWhenItsRevisionStandsStillForLong() {
-        lease.seen("other", 1, at(10), 0);
-        assertThat(lease.lapsed(11 * SECOND)).isFalse();
-        lease.seen("other", 1, at(11), 11 * SECOND);
-        assertThat(lease.lapsed(22 * SECOND)).isFalse();
-        lease.seen("other", 1, at(11), 22 * SECOND);
-        assertThat(lease.lapsed(24 * SECOND))
+        lease.observe("other", 1, at(10), 0);
+        assertThat(lease.hasLapsed(11 * SECOND)).isFalse();
+        lease.observe("other", 1, at(11), 11 * SECOND);
+        assertThat(lease.hasLapsed(22 * SECOND)).isFalse();
+        lease.observe("other", 1, at(11), 22 * SECOND);
+        assertThat(lease.hasLapsed(24 * SECOND))
                 .as("the same revision again is no sign of life")
                 .isTrue();
     }
 
     @Test
-    void whoSeesAnotherHolderStopsOrdering() {
+    void aProcessThatObservesAnotherHolderStopsOrdering() {
         hold();
         lease.renewed(0, 0);
-        lease.seen("other", 2, at(12), 0);
-        assertThat(lease.held()).isFalse();
+        lease.observe("other", 2, at(12), 0);
+        assertThat(lease.isHeld()).isFalse();
         assertThat(lease.mayOrder(0, 0)).isFalse();
     }
 
     @Test
-    void anOlderRevisionIsNotBelieved() {
-        lease.seen("other", 2, at(12), 0);
-        lease.seen("me", 1, at(10), 0);
-        assertThat(lease.held()).isFalse();
+    void anOlderRevisionIsIgnored() {
+        lease.observe("other", 2, at(12), 0);
+        lease.observe("me", 1, at(10), 0);
+        assertThat(lease.isHeld()).isFalse();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/generation/OutputLengthModelTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/OutputLengthModelTest.java
@@ -24,9 +24,9 @@
             double[] draw = drawn(random, lengthSpread, estimateSpread);
             if (i >= 500) {
                 judged++;
-                within += draw[0] <= model.tokens(draw[1], deviations) ? 1 : 0;
+                within += draw[0] <= model.boundTokens(draw[1], deviations) ? 1 : 0;
             }
-            model.ended(draw[1], draw[0] / TOKENS_IN_EVENT);
+            model.recordLength(draw[1], draw[0] / TOKENS_IN_EVENT);
         }
         return (double) within / judged;
     }
@@ -43,35 +43,35 @@
         Random random = new Random(3);
         for (int i = 0; i < 1_000; i++) {
             double[] draw = drawn(random, 0.8, 0.01);
-            model.ended(draw[1], draw[0] / TOKENS_IN_EVENT);
+            model.recordLength(draw[1], draw[0] / TOKENS_IN_EVENT);
         }
-        assertThat(model.tokens(16_000, 1.28)).isBetween(16_000 * 0.95, 16_000 * 1.25);
+        assertThat(model.boundTokens(16_000, 1.28)).isBetween(16_000 * 0.95, 16_000 * 1.25);
     }
 
     @Test
-    void anEstimateThatSaysNothingIsAnsweredWithTheUsualLength() {
+    void uninformativeEstimatesYieldTheUsualLength() {
         OutputLengthModel model = new OutputLengthModel();
         Random random = new Random(5);
         for (int i = 0; i < 1_000; i++) {
             double tokens = 4_000 * Math.exp(0.3 * random.nextGaussian());
             double estimate = 4_000 * Math.exp(0.9 * random.nextGaussian());
-            model.ended(estimate, tokens / TOKENS_IN_EVENT);
+            model.recordLength(estimate, tokens / TOKENS_IN_EVENT);
         }
-        assertThat(model.tokens(40_000, 0)).isBetween(3_000.0, 5_500.0);
-        assertThat(model.tokens(400, 0)).isBetween(3_000.0, 5_500.0);
+        assertThat(model.boundTokens(40_000, 0)).isBetween(3_000.0, 5_500.0);
+        assertThat(model.boundTokens(400, 0)).isBetween(3_000.0, 5_500.0);
     }
 
     @Test
     void beforeAnythingIsKnownTheEstimateIsBookedWithRoom() {
-        assertThat(new OutputLengthModel().tokens(1_000, 1.28)).isBetween(1_500.0, 2_000.0);
+        assertThat(new OutputLengthModel().boundTokens(1_000, 1.28)).isBetween(1_500.0, 2_000.0);
     }
 
     @Test
-    void lengthsThatMakeNoSenseAreLeftOut() {
+    void estimatesAndLengthsThatAreNotPositiveAreIgnored() {
         OutputLengthModel model = new OutputLengthModel();
-        double before = model.tokens(1_000, 1);
-        model.ended(0, 5);
-        model.ended(5, 0);
-        assertThat(model.tokens(1_000, 1)).isEqualTo(before);
+        double before = model.boundTokens(1_000, 1);
+        model.recordLength(0, 5);
+        model.recordLength(5, 0);
+        assertThat(model.boundTokens(1_000, 1)).isEqualTo(before);
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/generation/ReadingDay.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/PrefillSimulation.java
@@ -8,10 +8,10 @@
 import java.util.Random;
 
 /** A seeded day of a few entries that have prompts read by a few engines, in steps of a millisecond. */
-final class ReadingDay {
-    static final int OBJECTIVE = 900;
-    private static final int DEADLINE = 14_000;
-    private static final int CHUNK = 2_048;
+final class PrefillSimulation {
+    static final int OBJECTIVE_MILLIS = 900;
+    private static final int DEADLINE_MILLIS = 14_000;
+    private static final int CHUNK_TOKENS = 2_048;
     private static final int MEAN_TOKENS = 5_000;
     private static final int MAX_TOKENS = 11_000;
 
@@ -21,16 +21,16 @@
         int place(Prompt prompt, long nowMillis);
 
         /** Returns whether to give up what is under way and to place it again. */
-        boolean givesUp(Prompt prompt, long nowMillis);
+        boolean shouldRetry(Prompt prompt, long nowMillis);
 
         void began(Prompt prompt, long nowMillis);
 
-        void read(Prompt prompt, long nowMillis);
+        void completed(Prompt prompt, long nowMillis);
 
         void cancelled(Prompt prompt);
 
         /** Returns when a refused caller is to come back. */
-        long comeBackMillis(Prompt prompt, long nowMillis);
+        long retryAfterMillis(Prompt prompt, long nowMillis);
     }
 
     /** Makes the entries. */
@@ -42,48 +42,49 @@
     /** One caller's prompt. */
     static final class Prompt {
         final int tokens;
-        final long arrived;
-        long due;
+        final long arrivedAt;
+        long nextArrivalAt;
         int entry;
         int engine = -1;
-        int tries;
-        int visits;
-        long begun;
-        double left;
+        int attempts;
+        int requests;
+        long begunAt;
+        double tokensLeft;
 
         Prompt(int tokens, long arrived) {
             this.tokens = tokens;
-            this.arrived = arrived;
-            this.due = arrived;
+            this.arrivedAt = arrived;
+            this.nextArrivalAt = arrived;
         }
 
-        double inTimeMillis(long now) {
-            return OBJECTIVE - (double) (now - arrived);
+        double untilObjectiveMillis(long now) {
+            return OBJECTIVE_MILLIS - (double) (now - arrivedAt);
         }
 
-        double leftMillis(long now) {
-            return DEADLINE - (double) (now - arrived);
+        double untilAbandonedMillis(long now) {
+            return DEADLINE_MILLIS - (double) (now - arrivedAt);
         }
     }
 
     /** What came of a day, as shares of what the engines could have read. */
-    record Result(double inTime, double late, double given) {}
+    record Result(double inTime, double late, double total) {}
 
     private final double tokensPerMilli;
-    private final boolean turns;
+    private final boolean interleaved;
     private final Random random;
     private final List<Entry> entries = new ArrayList<>();
     private final List<Deque<Prompt>> engines = new ArrayList<>();
-    private final List<Prompt> underWay = new ArrayList<>();
-    private final PriorityQueue<Prompt> callers = new PriorityQueue<>((one, other) -> Long.compare(one.due, other.due));
-    private double readInTime;
-    private double readLate;
-    private double readTokens;
+    private final List<Prompt> inProgress = new ArrayList<>();
+    private final PriorityQueue<Prompt> callers =
+            new PriorityQueue<>((one, other) -> Long.compare(one.nextArrivalAt, other.nextArrivalAt));
+    private double tokensInTime;
+    private double tokensLate;
+    private double tokensTotal;
 
     /** Creates a day; with {@code turns} engines read prompts in turns of a chunk, else one after the other. */
-    ReadingDay(Entries maker, int entryCount, int engineCount, double tokensPerMilli, boolean turns, long seed) {
+    PrefillSimulation(Entries maker, int entryCount, int engineCount, double tokensPerMilli, boolean turns, long seed) {
         this.tokensPerMilli = tokensPerMilli;
-        this.turns = turns;
+        this.interleaved = turns;
         this.random = new Random(seed);
         for (int i = 0; i < entryCount; i++) {
             entries.add(maker.make(engineCount, entryCount, random));
@@ -94,20 +95,20 @@
     }
 
     /** Plays the load, in multiples of what the engines can read, up to a time, and another from there. */
-    Result play(double load, double loadAfter, long turn, long length) {
+    Result run(double load, double loadAfter, long turn, long length) {
         double counted = 0;
         for (long now = 0; now < length; now++) {
             arrive(now < turn ? load : loadAfter, now);
-            while (!callers.isEmpty() && callers.peek().due <= now) {
-                visit(callers.poll(), now);
+            while (!callers.isEmpty() && callers.peek().nextArrivalAt <= now) {
+                send(callers.poll(), now);
             }
-            giveUps(now);
+            cancelAndRetry(now);
             for (int engine = 0; engine < engines.size(); engine++) {
-                work(engine, now);
+                prefill(engine, now);
             }
             counted += tokensPerMilli * engines.size();
         }
-        return new Result(readInTime / counted, readLate / counted, readTokens / counted);
+        return new Result(tokensInTime / counted, tokensLate / counted, tokensTotal / counted);
     }
 
     private void arrive(double load, long now) {
@@ -120,10 +121,10 @@
         }
     }
 
-    private void visit(Prompt prompt, long now) {
+    private void send(Prompt prompt, long now) {
         prompt.entry = random.nextInt(entries.size());
-        prompt.tries = 0;
-        prompt.visits++;
+        prompt.attempts = 0;
+        prompt.requests++;
         place(prompt, now);
     }
 
@@ -135,29 +136,29 @@
             return;
         }
         prompt.engine = engine;
-        prompt.tries++;
-        prompt.begun = now;
-        prompt.left = prompt.tokens;
+        prompt.attempts++;
+        prompt.begunAt = now;
+        prompt.tokensLeft = prompt.tokens;
         entry.began(prompt, now);
         engines.get(engine).add(prompt);
-        underWay.add(prompt);
+        inProgress.add(prompt);
     }
 
     private void refuse(Prompt prompt, long now) {
-        long left = prompt.arrived + DEADLINE - now;
-        long back = Math.min(entries.get(prompt.entry).comeBackMillis(prompt, now), left / 3);
-        if (prompt.visits < 2 && left > 0) {
-            prompt.due = now + Math.max(1, back);
+        long left = prompt.arrivedAt + DEADLINE_MILLIS - now;
+        long back = Math.min(entries.get(prompt.entry).retryAfterMillis(prompt, now), left / 3);
+        if (prompt.requests < 2 && left > 0) {
+            prompt.nextArrivalAt = now + Math.max(1, back);
             callers.add(prompt);
         }
     }
 
-    private void giveUps(long now) {
-        for (Prompt prompt : List.copyOf(underWay)) {
-            boolean gone = now - prompt.arrived > DEADLINE;
-            if (gone || entries.get(prompt.entry).givesUp(prompt, now)) {
+    private void cancelAndRetry(long now) {
+        for (Prompt prompt : List.copyOf(inProgress)) {
+            boolean gone = now - prompt.arrivedAt > DEADLINE_MILLIS;
+            if (gone || entries.get(prompt.entry).shouldRetry(prompt, now)) {
                 engines.get(prompt.engine).remove(prompt);
-                underWay.remove(prompt);
+                inProgress.remove(prompt);
                 entries.get(prompt.entry).cancelled(prompt);
                 if (!gone) {
                     place(prompt, now);
@@ -166,32 +167,32 @@
         }
     }
 
-    private void work(int engine, long now) {
+    private void prefill(int engine, long now) {
         Deque<Prompt> queue = engines.get(engine);
         double room = tokensPerMilli;
         while (room > 0 && !queue.isEmpty()) {
             Prompt prompt = queue.peekFirst();
-            double turn = prompt.left % CHUNK == 0 ? CHUNK : prompt.left % CHUNK;
-            double step = Math.min(room, Math.min(prompt.left, turn));
-            prompt.left -= step;
+            double turn = prompt.tokensLeft % CHUNK_TOKENS == 0 ? CHUNK_TOKENS : prompt.tokensLeft % CHUNK_TOKENS;
+            double step = Math.min(room, Math.min(prompt.tokensLeft, turn));
+            prompt.tokensLeft -= step;
             room -= step;
-            readTokens += step;
-            if (prompt.left <= 1e-6) {
+            tokensTotal += step;
+            if (prompt.tokensLeft <= 1e-6) {
                 queue.remove(prompt);
-                underWay.remove(prompt);
+                inProgress.remove(prompt);
                 finished(prompt, now);
-            } else if (turns && step == turn) {
+            } else if (interleaved && step == turn) {
                 queue.add(queue.remove());
             }
         }
     }
 
     private void finished(Prompt prompt, long now) {
-        entries.get(prompt.entry).read(prompt, now);
-        if (now - prompt.arrived <= OBJECTIVE) {
-            readInTime += prompt.tokens;
+        entries.get(prompt.entry).completed(prompt, now);
+        if (now - prompt.arrivedAt <= OBJECTIVE_MILLIS) {
+            tokensInTime += prompt.tokens;
         } else {
-            readLate += prompt.tokens;
+            tokensLate += prompt.tokens;
         }
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/generation/StageSplitTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/StageSplitTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void whenBothArePressedNothingChanges() {
+    void whenBothStagesAreOverloadedNothingChanges() {
         assertThat(after(10, engines(2, 2, 6, 0.95))).isEmpty();
         assertThat(after(10, engines(3, 3, 5, 0.95))).isEmpty();
     }
@@ -73,15 +73,15 @@
     }
 
     @Test
-    void aShortBurstIsNoGrounds() {
+    void aShortBurstCausesNoChange() {
         after(30, engines(3, 1, 5, 0.3));
         assertThat(after(2, engines(3, 1, 5, 1.0))).isEmpty();
     }
 
     @Test
-    void afterAChangeTheLoadIsSeenAnewFirst() {
+    void afterAChangeTheLoadIsMeasuredAfresh() {
         after(10, engines(5, 1, 3, 0.9));
-        split.changed();
+        split.stageChanged();
         assertThat(after(3, engines(4, 1, 4, 0.9))).isEmpty();
         assertThat(after(10, engines(4, 1, 4, 0.9))).hasSize(1);
     }
@@ -110,7 +110,7 @@
      * burst of 2.2 times the mean. With one reader less the burst would take 1.03 times what it reads, for the rest of the day.
      */
     @Test
-    void anOrderThatRelievesByLessThanItTakesOutIsNotGiven() {
+    void aChangeThatRelievesLessThanItTakesOutOfServiceIsNotMade() {
         List<EngineSample> oneBusy = engines(2, 1, 4, 0.62);
         List<EngineSample> noneBusy = engines(2, 0, 4, 0.62);
         for (int i = 0; i < 20; i++) {
--- a/core/src/test/java/org/quetzalseam/core/limits/CallerPatienceTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/EarlierWaitEstimatorTest.java
@@ -5,36 +5,36 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class CallerPatienceTest {
-    private final CallerPatience patience = new CallerPatience();
+class EarlierWaitEstimatorTest {
+    private final EarlierWaitEstimator estimator = new EarlierWaitEstimator();
 
     /** Enough callers of the same patience for it to count as common. */
     private void severalWith(long patienceMillis) {
         for (int i = 0; i < 5; i++) {
-            assertThat(patience.spent(patienceMillis)).isZero();
+            assertThat(estimator.estimateMillis(patienceMillis)).isZero();
         }
     }
 
     @Test
-    void aCallerWithLessPatienceThanTheOthersHasComeBack() {
+    void aCallerThatWaitsLessLongThanTheOthersIsRetrying() {
         severalWith(14_000);
-        assertThat(patience.spent(13_997)).as("the path's time").isZero();
-        assertThat(patience.spent(12_000)).isBetween(1_990L, 2_000L);
+        assertThat(estimator.estimateMillis(13_997)).as("the path's time").isZero();
+        assertThat(estimator.estimateMillis(12_000)).isBetween(1_990L, 2_000L);
     }
 
     @Test
-    void aCallerWhoDoesNotSayIsTakenForAFirstTry() {
+    void aCallerWithoutADeadlineCountsAsAFirstAttempt() {
         severalWith(14_000);
-        assertThat(patience.spent(Long.MAX_VALUE)).isZero();
+        assertThat(estimator.estimateMillis(Long.MAX_VALUE)).isZero();
     }
 
     @Test
-    void aShorterPatienceOfAllIsLearnt() {
-        patience.spent(14_000);
+    void aShorterWaitOfAllCallersIsDetected() {
+        estimator.estimateMillis(14_000);
         for (int i = 0; i < 5_000; i++) {
-            patience.spent(10_000);
+            estimator.estimateMillis(10_000);
         }
-        assertThat(patience.spent(10_000)).isZero();
+        assertThat(estimator.estimateMillis(10_000)).isZero();
     }
 
     /**
@@ -42,23 +42,23 @@
      * over 900 ms less than the most patient, the whole objective of a first event, though all of them come for the first time.
      */
     @Test
-    void callersWhoBeginWithDifferentPatienceAreNotTakenToHaveComeBack() {
+    void callersThatBeginWithDifferentWaitsCountAsFirstAttempts() {
         Random random = new Random(7);
         for (int i = 0; i < 500; i++) {
             long drawn = 11_900L + random.nextInt(4_200);
-            assertThat(patience.spent(drawn)).as("caller %s", i).isZero();
+            assertThat(estimator.estimateMillis(drawn)).as("caller %s", i).isZero();
         }
     }
 
     /** An overload in which every caller is refused once: half of all requests are second tries, a second or more later. */
     @Test
-    void callersWhoComeBackAreStillToldFromOthersWhenEveryCallerComesTwice() {
+    void retriesAreStillDetectedWhenEveryCallerRetriesOnce() {
         Random random = new Random(7);
         severalWith(14_000);
         int told = 0;
         for (int i = 0; i < 500; i++) {
-            assertThat(patience.spent(14_000 - random.nextInt(5))).isZero();
-            told += patience.spent(13_000 - random.nextInt(1_000)) > 0 ? 1 : 0;
+            assertThat(estimator.estimateMillis(14_000 - random.nextInt(5))).isZero();
+            told += estimator.estimateMillis(13_000 - random.nextInt(1_000)) > 0 ? 1 : 0;
         }
         assertThat(told).isGreaterThan(480);
     }
--- a/core/src/test/java/org/quetzalseam/core/limits/IdleLimitTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/IdleLimitTest.java
@@ -12,28 +12,28 @@
 
     @Test
     void nothingIsLimitedBeforeALoss() {
-        assertThat(limit.atTime(5 * SECOND)).isEqualTo(Long.MAX_VALUE);
+        assertThat(limit.limitNanos(5 * SECOND)).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
-    void aLossKeepsConnectionsFromRestingHalfAsLong() {
-        limit.lost(SECOND, 0);
-        assertThat(limit.atTime(0)).isEqualTo(SECOND / 2);
+    void aLossHalvesTheIdleTimeThatItCameAfter() {
+        limit.recordLoss(SECOND, 0);
+        assertThat(limit.limitNanos(0)).isEqualTo(SECOND / 2);
     }
 
     @Test
-    void aShorterRestThatLosesARequestLowersItAndALongerOneDoesnt() {
-        limit.lost(SECOND, 0);
-        limit.lost(SECOND / 5, 0);
-        limit.lost(10 * SECOND, 0);
-        assertThat(limit.atTime(0)).isEqualTo(SECOND / 10);
+    void aLossAfterAShorterIdleTimeLowersTheLimitAndALongerOneDoesNot() {
+        limit.recordLoss(SECOND, 0);
+        limit.recordLoss(SECOND / 5, 0);
+        limit.recordLoss(10 * SECOND, 0);
+        assertThat(limit.limitNanos(0)).isEqualTo(SECOND / 10);
     }
 
     @Test
     void itRisesWhileNothingIsLost() {
-        limit.lost(SECOND, 0);
-        assertThat(limit.atTime(10 * SECOND)).isEqualTo(SECOND);
-        assertThat(limit.atTime(20 * SECOND)).isEqualTo(2 * SECOND);
-        assertThat(limit.atTime(100_000 * SECOND)).isEqualTo(Long.MAX_VALUE);
+        limit.recordLoss(SECOND, 0);
+        assertThat(limit.limitNanos(10 * SECOND)).isEqualTo(SECOND);
+        assertThat(limit.limitNanos(20 * SECOND)).isEqualTo(2 * SECOND);
+        assertThat(limit.limitNanos(100_000 * SECOND)).isEqualTo(Long.MAX_VALUE);
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/limits/LimitsTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/LimitsTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aRequestThatLeavesMakesRoomForAnother() {
+    void aRequestThatEndsFreesItsSlot() {
         EntryLimiter limiter = new EntryLimiter();
         EntrySpec entry = entry(1000, 1);
         assertThat(limiter.enter(entry, 1, 0)).isEqualTo(Verdict.ENTERED);
@@ -58,10 +58,10 @@
         RetryBudget budget = new RetryBudget(0.1);
         int retries = 0;
         for (int i = 0; i < 1000; i++) {
-            budget.request("o");
-            retries += budget.retry("o") ? 1 : 0;
+            budget.recordRequest("o");
+            retries += budget.tryRetry("o") ? 1 : 0;
         }
         assertThat(retries).isBetween(90, 110);
-        assertThat(budget.retry("other")).isTrue();
+        assertThat(budget.tryRetry("other")).isTrue();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/limits/RetriesOverRestartsTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceRestartTest.java
@@ -10,27 +10,27 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Entries that share a retry budget, are killed, and start again without a memory of what they have spent. */
-class RetriesOverRestartsTest {
+class RetryAllowanceRestartTest {
     private static final long MILLI = 1_000_000;
     private static final long WINDOW = 10_000 * MILLI;
     private static final double RATIO = 0.2;
     private static final double SLACK = 56;
     private static final int ENTRIES = 5;
     /** Time before the first request, in milliseconds. */
-    private static final long BEFORE = 15_000;
+    private static final long FIRST_REQUEST_MILLIS = 15_000;
 
     /** One entry over all its lives. */
     private static final class Entry {
-        private RetryAllowance allowance = life(0);
+        private RetryAllowance allowance = newAllowance(0);
 
-        private static RetryAllowance life(long startedAt) {
+        private static RetryAllowance newAllowance(long startedAt) {
             RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, startedAt);
-            allowance.entries(ENTRIES);
+            allowance.updateEntryCount(ENTRIES);
             return allowance;
         }
 
-        void startAgain(long now) {
-            allowance = life(now);
+        void restart(long now) {
+            allowance = newAllowance(now);
         }
     }
 
@@ -39,12 +39,12 @@
 
     private void request(Entry entry, long now) {
         requests.add(now);
-        entry.allowance.request(now);
+        entry.allowance.recordRequest(now);
     }
 
     /** Engines fail, so that whatever the budget allows is sent again. */
     private void retryAll(Entry entry, long now) {
-        while (entry.allowance.retry(now)) {
+        while (entry.allowance.tryRetry(now)) {
             retries.add(now);
         }
     }
@@ -74,11 +74,11 @@
         for (int i = 0; i < ENTRIES; i++) {
             entries.add(new Entry());
         }
-        for (long millis = BEFORE; millis <= BEFORE + 6_000; millis += 3_000) {
+        for (long millis = FIRST_REQUEST_MILLIS; millis <= FIRST_REQUEST_MILLIS + 6_000; millis += 3_000) {
             long now = millis * MILLI;
             for (Entry entry : entries) {
-                if (millis > BEFORE) {
-                    entry.startAgain(now);
+                if (millis > FIRST_REQUEST_MILLIS) {
+                    entry.restart(now);
                 }
                 for (int i = 0; i < 6; i++) {
                     request(entry, now);
@@ -101,11 +101,11 @@
         for (int i = 0; i < ENTRIES; i++) {
             entries.add(new Entry());
         }
-        for (long millis = BEFORE; millis < BEFORE + 40_000; millis += 50) {
+        for (long millis = FIRST_REQUEST_MILLIS; millis < FIRST_REQUEST_MILLIS + 40_000; millis += 50) {
             long now = millis * MILLI;
             for (Entry entry : entries) {
                 if (random.nextDouble() < killsPerStep) {
-                    entry.startAgain(now);
+                    entry.restart(now);
                 }
                 if (random.nextDouble() < requestsPerStep) {
                     request(entry, now);
@@ -120,8 +120,8 @@
 
     // Guards against a mend that leaves an entry without any part of the slack for a whole window.
     @Test
-    void anEntryThatHasStartedAgainHasAPartOfTheSlackBeforeAWindowIsOver() {
-        RetryAllowance allowance = Entry.life(0);
-        assertThat(allowance.retry(WINDOW / 2)).isTrue();
+    void aRestartedEntryHasAPartOfTheSlackBeforeAWindowIsOver() {
+        RetryAllowance allowance = Entry.newAllowance(0);
+        assertThat(allowance.tryRetry(WINDOW / 2)).isTrue();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceTest.java
@@ -14,7 +14,7 @@
 
     private static int taken(RetryAllowance allowance, long now) {
         int taken = 0;
-        while (allowance.retry(now)) {
+        while (allowance.tryRetry(now)) {
             taken++;
         }
         return taken;
@@ -28,10 +28,10 @@
         int retries = 0;
         for (int share : requests) {
             RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
-            allowance.entries(requests.length);
+            allowance.updateEntryCount(requests.length);
             entries.add(allowance);
             for (int i = 0; i < share; i++) {
-                allowance.request(1);
+                allowance.recordRequest(1);
             }
             all += share;
         }
@@ -43,24 +43,24 @@
     }
 
     @Test
-    void anEntryThatDoesNotKnowTheOthersTakesASmallPartOfTheSlack() {
+    void anEntryThatDoesNotKnowTheEntryCountUsesASmallPartOfTheSlack() {
         assertThat(taken(new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO), 1)).isLessThanOrEqualTo(2);
     }
 
     @Test
-    void aCrashAtTheStartOfTrafficLeavesRetriesForThoseWhoCanGoOn() {
+    void aCrashAtTheStartOfTrafficLeavesRetriesForRequestsThatCanGoOn() {
         RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
-        allowance.entries(5);
+        allowance.updateEntryCount(5);
         for (int i = 0; i < 5; i++) {
-            allowance.request(1);
+            allowance.recordRequest(1);
         }
         assertThat(taken(allowance, 2)).isGreaterThanOrEqualTo(8);
     }
 
     @Test
-    void whatIsTakenComesBackAfterTheWindow() {
+    void spentRetriesAreAvailableAgainAfterTheWindow() {
         RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
-        allowance.entries(5);
+        allowance.updateEntryCount(5);
         int first = taken(allowance, 1);
         assertThat(taken(allowance, WINDOW)).isZero();
         assertThat(taken(allowance, WINDOW + 2)).isEqualTo(first);
@@ -69,10 +69,10 @@
     @Test
     void severalRetriesAreTakenTogetherOrNotAtAll() {
         RetryAllowance few = new RetryAllowance(0, 5, 1_000, -10_000);
-        few.entries(1);
-        assertThat(few.retries(0, 3)).isTrue();
-        assertThat(few.retries(0, 2)).isFalse();
-        assertThat(few.retry(0)).isTrue();
-        assertThat(few.retry(0)).isFalse();
+        few.updateEntryCount(1);
+        assertThat(few.tryRetries(0, 3)).isTrue();
+        assertThat(few.tryRetries(0, 2)).isFalse();
+        assertThat(few.tryRetry(0)).isTrue();
+        assertThat(few.tryRetry(0)).isFalse();
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
@@ -57,7 +57,7 @@
             return false;
         }
         boolean allowed = ended.next() == Next.RETRY_FREE
-                || context.retries().retry(request.entry().owner());
+                || context.retries().tryRetry(request.entry().owner());
         if (allowed) {
             context.metrics().retry(ended.result().code());
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
@@ -97,7 +97,7 @@
 
     /** Runs a completion and returns how it ended. Blocks until then; outputs go to the sink meanwhile. */
     public RunResult run(CompletionRequest request, AnswerSink sink) {
-        context.retries().request(request.entry().owner());
+        context.retries().recordRequest(request.entry().owner());
         TraceLog.Trace trace = traces.begin(request.requestId().toString());
         trace.note("entry " + request.entry().name() + ", " + request.promptTokens() + " prompt tokens");
         return new CompletionRun(context, request, sink, trace).run();
@@ -105,7 +105,7 @@
 
     /** Runs a call of a plain service and returns how it ended. Blocks until then. */
     public ServiceResult run(ServiceRequest request) {
-        context.retries().request(request.entry().owner());
+        context.retries().recordRequest(request.entry().owner());
         TraceLog.Trace trace = traces.begin(request.requestId().toString());
         trace.note("entry " + request.entry().name());
         return new ServiceRun(context, request, trace).run();
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRun.java
@@ -113,7 +113,7 @@
     }
 
     private boolean budgeted(String reason) {
-        if (!context.retries().retry(request.entry().owner())) {
+        if (!context.retries().tryRetry(request.entry().owner())) {
             return false;
         }
         context.metrics().retry(reason);
--- a/gateway/src/main/java/org/quetzalseam/gateway/EntryShutdown.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/EntryShutdown.java
@@ -50,11 +50,11 @@
 
     private void checkDrained(GracePeriod grace, long begunAt) {
         long now = timers.now();
-        if (grace.over(now) || grace.mayEndEarly(now, callers.inProgress() + callers.arriving())) {
+        if (grace.isOver(now) || grace.mayEndEarly(now, callers.inProgress() + callers.arriving())) {
             finish(TimeUnit.NANOSECONDS.toMillis(now - begunAt));
             return;
         }
-        if (grace.noticed(now)) {
+        if (grace.isNoticed(now)) {
             callers.closeIdle();
         }
         timers.after(DRAIN_CHECK_MILLIS, () -> checkDrained(grace, begunAt));
--- a/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/endpoint/Endpoint.java
@@ -299,7 +299,7 @@
             peerDisconnects.record(System.nanoTime());
         }
         if (connection.lostAfterIdle()) {
-            idleLimit.lost(connection.idleNanosBeforeRequest(), System.nanoTime());
+            idleLimit.recordLoss(connection.idleNanosBeforeRequest(), System.nanoTime());
             logger.atInfo().log(
                     "event=connection-forgotten endpoint=%s rested_ms=%d",
                     member.id(), TimeUnit.NANOSECONDS.toMillis(connection.idleNanosBeforeRequest()));
@@ -324,7 +324,7 @@
 
     private @Nullable HttpConnection pollUsable(Deque<HttpConnection> connections) {
         long now = System.nanoTime();
-        long longest = idleLimit.atTime(now);
+        long longest = idleLimit.limitNanos(now);
         while (true) {
             HttpConnection connection = connections.pollFirst();
             if (connection == null) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/BookingManager.java
@@ -133,7 +133,7 @@
     void recordEnded(long tookMillis, RequestFacts facts, long events) {
         TokenDemand demand = facts.demand();
         if (demand != null && facts.resumesAfter() == null) {
-            booking.ended(demand, (double) events);
+            booking.recordLength(demand, (double) events);
         }
         typicalCount++;
         typicalMillis += Math.max(NEWEST_WEIGHT, 1.0 / typicalCount) * (tookMillis - typicalMillis);
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
@@ -1,6 +1,6 @@
 package org.quetzalseam.gateway.route;
 
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.PrefillPlanner;
 import org.quetzalseam.core.routing.RouteRule;
 import org.quetzalseam.gateway.caller.Exchange;
 
@@ -24,9 +24,9 @@
     }
 
     /** Returns the time left at this moment. An answer whose first event arrives after its caller has given up is of no use. */
-    ReadingPool.Due remaining() {
+    PrefillPlanner.Deadline remaining() {
         double toObjective = (double) route.targetLatencyMillis() - exchange.ageMillis() - earlierAttemptsMillis;
         long toTimeout = Math.min(forwarded.remainingMillis(), route.idleTimeoutMillis() - exchange.ageMillis());
-        return new ReadingPool.Due(toObjective, (double) toTimeout, (double) route.targetLatencyMillis());
+        return new PrefillPlanner.Deadline(toObjective, (double) toTimeout, (double) route.targetLatencyMillis());
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
@@ -62,12 +62,13 @@
                 double firstEventMillis = prefillEngine
                         .map(engine -> bookings.prefillEngines().firstEventMillis(engine, demand.prompt()))
                         .orElse(0.0);
-                requestBooking(demand, Math.round(deadline.remaining().inTimeMillis() - firstEventMillis), null);
+                requestBooking(
+                        demand, Math.round(deadline.remaining().untilObjectiveMillis() - firstEventMillis), null);
             }
 
             @Override
             public void beginInPlace(Endpoint decodeEngine) {
-                requestBooking(demand, Math.round(deadline.remaining().inTimeMillis()), decodeEngine);
+                requestBooking(demand, Math.round(deadline.remaining().untilObjectiveMillis()), decodeEngine);
             }
 
             @Override
@@ -81,14 +82,14 @@
     }
 
     private void requestBooking(TokenDemand demand, long inTimeMillis, @Nullable Endpoint requiredEngine) {
-        int tokens = bookings.booking().tokens(demand);
+        int tokens = bookings.booking().bookedTokens(demand);
         long now = context.now();
-        long remainingMillis = Math.round(deadline.remaining().leftMillis());
+        long remainingMillis = Math.round(deadline.remaining().untilAbandonedMillis());
         long waitMillis = Math.min(inTimeMillis > 0 ? inTimeMillis : LATE_WAIT_MILLIS, remainingMillis);
         BookingRequest newRequest = new BookingRequest(
                 tokens,
-                bookings.booking().room(demand),
-                bookings.booking().cost(demand),
+                bookings.booking().headroomTokens(demand),
+                bookings.booking().expectedCost(demand),
                 now + TimeUnit.MILLISECONDS.toNanos(inTimeMillis),
                 now + TimeUnit.MILLISECONDS.toNanos(waitMillis),
                 requiredEngine,
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
@@ -54,8 +54,8 @@
         this.relay = new StreamRelay(exchange, log);
         this.attempts = new GenerationAttempts(context, route, service);
         this.forwarded = new ForwardedRequest(exchange, context.protocol(), route);
-        this.earlierAttemptsMillis =
-                context.callerWaits(route.name()).spent(exchange.facts().callerTimeoutMillis());
+        this.earlierAttemptsMillis = context.callerWaits(route.name())
+                .estimateMillis(exchange.facts().callerTimeoutMillis());
         this.deadline = new FirstEventDeadline(exchange, route, forwarded, earlierAttemptsMillis);
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
@@ -47,7 +47,7 @@
         RequestFacts facts = exchange.facts();
         bookings.recordEnded(exchange.ageMillis(), facts, events);
         if (facts.resumesAfter() == null) {
-            context.answerTime(route).ended(facts.estimate(), exchange.ageMillis() - bookedAtMillis);
+            context.answerTime(route).recordAnswer(facts.estimate(), exchange.ageMillis() - bookedAtMillis);
         }
         prefilled = false;
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.ThreadLocalRandom;
 import org.quetzalseam.core.fleet.Stage;
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.PrefillPlanner;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /** The prefill engines of a service, with this entry's estimates of their backlog. Used on the event loop only. */
@@ -16,7 +16,7 @@
 
     private final RunContext context;
     private final String service;
-    private final ReadingPool<Endpoint> pool = new ReadingPool<>();
+    private final PrefillPlanner<Endpoint> pool = new PrefillPlanner<>();
 
     PrefillEngines(RunContext context, String service) {
         this.context = context;
@@ -25,12 +25,12 @@
     }
 
     private void forgetRemoved() {
-        pool.forget(engine -> !context.directory().usable(engine));
+        pool.removeEngines(engine -> !context.directory().usable(engine));
     }
 
     /** Sets the number of entries that share the engines. */
     void entries(int counted) {
-        pool.entries(counted);
+        pool.updateEntryCount(counted);
     }
 
     private List<Endpoint> usable() {
@@ -49,11 +49,11 @@
         Comparator<Endpoint> ties = Comparator.<Endpoint, Boolean>comparing(
                         engine -> !engine.member().zone().equals(zone))
                 .thenComparing(engine -> ThreadLocalRandom.current().nextInt());
-        return pool.best(healthy.isEmpty() ? reachable : healthy, tokens, now, ties);
+        return pool.selectEngine(healthy.isEmpty() ? reachable : healthy, tokens, now, ties);
     }
 
     /** Returns whether an engine should begin a prompt now. */
-    ReadingPool.Verdict judge(Endpoint engine, int tokens, ReadingPool.Due remaining) {
+    PrefillPlanner.Verdict judge(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
         return pool.judge(engine, usable().size(), tokens, remaining, context.now());
     }
 
@@ -63,50 +63,50 @@
     }
 
     /** Returns whether the first event for a prompt is predicted to miss the objective. */
-    boolean missesObjective(Endpoint engine, int tokens, ReadingPool.Due remaining) {
-        return firstEventMillis(engine, tokens) > remaining.inTimeMillis();
+    boolean missesObjective(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
+        return firstEventMillis(engine, tokens) > remaining.untilObjectiveMillis();
     }
 
     /** Returns the inputs of a verdict on a prompt as {@code key=value} pairs for the log. */
-    String describeInputs(Endpoint engine, int tokens, ReadingPool.Due remaining) {
+    String describeInputs(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
         long now = context.now();
         return String.format(
                 "predicted_ms=%.0f queue_ms=%.0f in_time_ms=%.0f left_ms=%.0f tokens=%d share_left=%.0f",
-                pool.firstEventMillis(engine, tokens, now),
+                pool.predictFirstEventMillis(engine, tokens, now),
                 pool.queueMillis(engine, now),
-                remaining.inTimeMillis(),
-                remaining.leftMillis(),
+                remaining.untilObjectiveMillis(),
+                remaining.untilAbandonedMillis(),
                 tokens,
                 pool.shareLeft());
     }
 
     /** Returns the predicted time until the first event for a prompt that an engine begins now, in milliseconds. */
     double firstEventMillis(Endpoint engine, int tokens) {
-        return pool.firstEventMillis(engine, tokens, context.now());
+        return pool.predictFirstEventMillis(engine, tokens, context.now());
     }
 
     /** Records when a generation's prompt was prefilled, 0 if no prefill engine did so, and when its first event came. */
     void recordFirstEvent(long prefilledAtMillis, long firstEventMillis) {
         if (prefilledAtMillis > 0 && firstEventMillis > prefilledAtMillis) {
-            pool.firstEvent((double) (firstEventMillis - prefilledAtMillis));
+            pool.recordFirstEvent((double) (firstEventMillis - prefilledAtMillis));
         }
     }
 
-    ReadingPool<Endpoint>.Reading begin(Endpoint engine, int tokens, ReadingPool.Due remaining) {
+    PrefillPlanner<Endpoint>.Prefill begin(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
         return pool.begin(engine, tokens, context.now(), remaining.objectiveMillis());
     }
 
     /** Returns whether a prefill should be restarted at another engine. */
-    boolean isLost(ReadingPool<Endpoint>.Reading prefill, Endpoint engine) {
+    boolean isLost(PrefillPlanner<Endpoint>.Prefill prefill, Endpoint engine) {
         boolean removed = !engine.member().draining() && !context.directory().usable(engine);
-        return prefill.lost(usable(), removed, context.now());
+        return prefill.shouldRetryElsewhere(usable(), removed, context.now());
     }
 
     /** Returns the time until the shortest backlog admits more prompts, in milliseconds; 0 if there are no prefill engines. */
     double retryAfterMillis(double objectiveMillis) {
         long now = context.now();
         return usable().stream()
-                .mapToDouble(engine -> pool.comeBackMillis(engine, objectiveMillis, now))
+                .mapToDouble(engine -> pool.retryAfterMillis(engine, objectiveMillis, now))
                 .min()
                 .orElse(0);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.quetzalseam.core.generation.ReadingLine;
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.PrefillPlanner;
+import org.quetzalseam.core.generation.PrefillQueue;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /** A generation's request for the prefill of its prompt, which may have to be queued. Used on the event loop only. */
@@ -24,7 +24,7 @@
     private final FirstEventDeadline deadline;
     private final RunLog log;
     private final Listener listener;
-    private ReadingLine<PrefillRequest>.@Nullable Place queueEntry;
+    private PrefillQueue<PrefillRequest>.@Nullable Position queueEntry;
     private boolean triedInPlace;
 
     PrefillRequest(int promptTokens, FirstEventDeadline deadline, RunLog log, Listener listener) {
@@ -38,7 +38,7 @@
         return promptTokens;
     }
 
-    ReadingPool.Due remaining() {
+    PrefillPlanner.Deadline remaining() {
         return deadline.remaining();
     }
 
@@ -59,17 +59,17 @@
     }
 
     /** Returns its current or last queue entry; null if it was never queued. */
-    ReadingLine<PrefillRequest>.@Nullable Place queueEntry() {
+    PrefillQueue<PrefillRequest>.@Nullable Position queueEntry() {
         return queueEntry;
     }
 
     /** Sets its queue entry. */
-    void queueEntry(ReadingLine<PrefillRequest>.Place newEntry) {
+    void queueEntry(PrefillQueue<PrefillRequest>.Position newEntry) {
         queueEntry = newEntry;
     }
 
     /** Logs why it has to wait. */
-    void logQueued(Endpoint prefillEngine, ReadingPool.Verdict verdict, String inputs) {
+    void logQueued(Endpoint prefillEngine, PrefillPlanner.Verdict verdict, String inputs) {
         log.prefillQueued(prefillEngine, verdict, inputs);
     }
 
@@ -82,7 +82,7 @@
         listener.beginInPlace(decodeEngine);
     }
 
-    void refuse(Endpoint prefillEngine, ReadingPool.Verdict verdict, String inputs) {
+    void refuse(Endpoint prefillEngine, PrefillPlanner.Verdict verdict, String inputs) {
         log.prefillNotBegun(prefillEngine, verdict, inputs);
         listener.refused();
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.PrefillPlanner;
 import org.quetzalseam.gateway.caller.Exchange;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.endpoint.EndpointCall;
@@ -62,7 +62,7 @@
     private final RunLog log;
     private final Listener listener;
     private final Set<Endpoint> triedEngines = new HashSet<>();
-    private ReadingPool<Endpoint>.@Nullable Reading prefill;
+    private PrefillPlanner<Endpoint>.@Nullable Prefill prefill;
     private @Nullable EndpointCall call;
     private @Nullable ScheduledCall checkTimer;
     private @Nullable ScheduledCall giveUpTimer;
@@ -99,9 +99,9 @@
             return;
         }
         Endpoint engine = chosen.get();
-        ReadingPool.Due remaining = deadline.remaining();
-        ReadingPool.Verdict verdict = engines.judge(engine, promptTokens, remaining);
-        if (verdict != ReadingPool.Verdict.BEGIN) {
+        PrefillPlanner.Deadline remaining = deadline.remaining();
+        PrefillPlanner.Verdict verdict = engines.judge(engine, promptTokens, remaining);
+        if (verdict != PrefillPlanner.Verdict.BEGIN) {
             refuseOrPostpone(engine, verdict, remaining);
             return;
         }
@@ -112,8 +112,8 @@
      * Only a prompt that no engine has received can be queued again: another engine may already have prefilled a part of
      * it.
      */
-    private void refuseOrPostpone(Endpoint engine, ReadingPool.Verdict verdict, ReadingPool.Due remaining) {
-        boolean untouched = triedEngines.isEmpty() && verdict != ReadingPool.Verdict.CALLER_LEAVES_SOONER;
+    private void refuseOrPostpone(Endpoint engine, PrefillPlanner.Verdict verdict, PrefillPlanner.Deadline remaining) {
+        boolean untouched = triedEngines.isEmpty() && verdict != PrefillPlanner.Verdict.CALLER_LEAVES_SOONER;
         if (untouched) {
             listener.notBegun();
             return;
@@ -122,7 +122,7 @@
         listener.failed(NOT_BEGUN_REASON);
     }
 
-    private void send(Endpoint engine, Endpoint decodeEngine, ReadingPool<Endpoint>.Reading newPrefill) {
+    private void send(Endpoint engine, Endpoint decodeEngine, PrefillPlanner<Endpoint>.Prefill newPrefill) {
         triedEngines.add(engine);
         prefill = newPrefill;
         long sentAt = context.now();
@@ -136,8 +136,8 @@
                 exchange.facts().id(),
                 reply);
         call = newCall;
-        scheduleCheck(Math.round(newPrefill.silenceMillis()), newCall, engine, decodeEngine, newPrefill);
-        double remainingMillis = deadline.remaining().leftMillis();
+        scheduleCheck(Math.round(newPrefill.unresponsiveLimitMillis()), newCall, engine, decodeEngine, newPrefill);
+        double remainingMillis = deadline.remaining().untilAbandonedMillis();
         long giveUpAfterMillis =
                 Math.round(remainingMillis - Math.min(REFUSAL_LEAD_MILLIS, MAX_REFUSAL_LEAD_SHARE * remainingMillis));
         giveUpTimer = context.after(Math.max(0, giveUpAfterMillis), () -> giveUp(newCall, engine));
@@ -163,7 +163,7 @@
             EndpointCall prefillCall,
             Endpoint engine,
             Endpoint decodeEngine,
-            ReadingPool<Endpoint>.Reading checkedPrefill) {
+            PrefillPlanner<Endpoint>.Prefill checkedPrefill) {
         checkTimer = context.after(Math.max(MIN_CHECK_INTERVAL_MILLIS, millis), () -> {
             if (!prefillCall.active()) {
                 return;
@@ -176,7 +176,7 @@
                         new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in time, while other engines prefill"));
             } else {
                 scheduleCheck(
-                        Math.round(checkedPrefill.silenceMillis() / CHECKS_PER_SILENCE_LIMIT),
+                        Math.round(checkedPrefill.unresponsiveLimitMillis() / CHECKS_PER_SILENCE_LIMIT),
                         prefillCall,
                         engine,
                         decodeEngine,
@@ -186,7 +186,7 @@
     }
 
     private void answered(Endpoint engine, Endpoint decodeEngine, HttpResponse answer, ByteBuf body, long sentAt) {
-        ReadingPool<Endpoint>.Reading answeredPrefill = prefill;
+        PrefillPlanner<Endpoint>.Prefill answeredPrefill = prefill;
         String text = ReplyCollector.text(body);
         body.release();
         // A handle of an ended incarnation may denote another prompt's cache in the next incarnation.
@@ -195,7 +195,8 @@
                 : Optional.empty();
         double millis = (context.now() - sentAt) / 1e6;
         if (handle.isPresent() && answeredPrefill != null) {
-            answeredPrefill.read(context.now(), millis, deadline.remaining().objectiveMillis());
+            answeredPrefill.completed(
+                    context.now(), millis, deadline.remaining().objectiveMillis());
         }
         end();
         if (handle.isEmpty()) {
@@ -241,9 +242,9 @@
     private void end() {
         cancel(checkTimer);
         cancel(giveUpTimer);
-        ReadingPool<Endpoint>.Reading currentPrefill = prefill;
+        PrefillPlanner<Endpoint>.Prefill currentPrefill = prefill;
         if (currentPrefill != null) {
-            currentPrefill.ended();
+            currentPrefill.aborted();
             prefill = null;
         }
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Optional;
 import org.quetzalseam.core.fleet.Stage;
-import org.quetzalseam.core.generation.ReadingInPlace;
-import org.quetzalseam.core.generation.ReadingLine;
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.InPlacePrefill;
+import org.quetzalseam.core.generation.PrefillPlanner;
+import org.quetzalseam.core.generation.PrefillQueue;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.entry.EntryCount;
 
@@ -22,8 +22,8 @@
     private final RunContext context;
     private final String service;
     private final PrefillEngines engines;
-    private final ReadingInPlace<Endpoint> inPlace = new ReadingInPlace<>();
-    private final ReadingLine<PrefillRequest> queue = new ReadingLine<>();
+    private final InPlacePrefill<Endpoint> inPlace = new InPlacePrefill<>();
+    private final PrefillQueue<PrefillRequest> queue = new PrefillQueue<>();
     private boolean checkScheduled;
 
     PrefillScheduler(RunContext context, String service, PrefillEngines engines) {
@@ -33,19 +33,20 @@
         context.timers()
                 .every(
                         FORGET_INTERVAL_MILLIS,
-                        () -> inPlace.forget(engine -> !context.directory().usable(engine)));
+                        () -> inPlace.removeEngines(
+                                engine -> !context.directory().usable(engine)));
     }
 
     /** Sets the number of entries among which the engines are divided, and this entry's rank. */
     void entries(EntryCount counted) {
-        inPlace.entries(counted.entries(), counted.rank());
+        inPlace.updateEntries(counted.entries(), counted.rank());
     }
 
     /** Begins, refuses or queues a prompt; its listener may be called before this method returns. */
     void submit(PrefillRequest request) {
-        ReadingPool.Due remaining = request.remaining();
+        PrefillPlanner.Deadline remaining = request.remaining();
         if (queue.mustQueue(remaining, context.now()) || !decide(request, remaining)) {
-            request.queueEntry(queue.enter(request, remaining, context.now()));
+            request.queueEntry(queue.add(request, remaining, context.now()));
             best(request)
                     .ifPresent(engine -> request.logQueued(
                             engine, judge(request, engine, remaining), describeInputs(request, engine, remaining)));
@@ -55,14 +56,14 @@
 
     /** Removes a prompt that no longer needs prefill from the queue. Does nothing if it is not queued. */
     void remove(PrefillRequest request) {
-        ReadingLine<PrefillRequest>.Place entry = request.queueEntry();
+        PrefillQueue<PrefillRequest>.Position entry = request.queueEntry();
         if (entry != null) {
-            queue.leave(entry);
+            queue.remove(entry);
         }
     }
 
     /** Begins or refuses a prompt if possible now. Returns whether it did. */
-    private boolean decide(PrefillRequest request, ReadingPool.Due remaining) {
+    private boolean decide(PrefillRequest request, PrefillPlanner.Deadline remaining) {
         Optional<Endpoint> best = best(request);
         if (best.isEmpty()) {
             remove(request);
@@ -79,8 +80,8 @@
      * once per prompt, because a decode engine without room will not have room for it soon. Prompts that are late in any
      * case do not delay the streams of others.
      */
-    private boolean tryDecodeEngine(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
-        boolean inTimeInPlace = remaining.inTimeMillis() > request.promptTokens() * engines.millisPerToken();
+    private boolean tryDecodeEngine(PrefillRequest request, Endpoint prefillEngine, PrefillPlanner.Deadline remaining) {
+        boolean inTimeInPlace = remaining.untilObjectiveMillis() > request.promptTokens() * engines.millisPerToken();
         if (request.triedInPlace()
                 || !inTimeInPlace
                 || !engines.missesObjective(prefillEngine, request.promptTokens(), remaining)) {
@@ -94,16 +95,17 @@
         return decodeEngine.isPresent();
     }
 
-    private boolean tryPrefillEngine(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
-        ReadingPool.Verdict verdict = judge(request, prefillEngine, remaining);
-        if (verdict == ReadingPool.Verdict.BEGIN) {
+    private boolean tryPrefillEngine(
+            PrefillRequest request, Endpoint prefillEngine, PrefillPlanner.Deadline remaining) {
+        PrefillPlanner.Verdict verdict = judge(request, prefillEngine, remaining);
+        if (verdict == PrefillPlanner.Verdict.BEGIN) {
             remove(request);
             request.beginPrefill(Optional.of(prefillEngine));
             return true;
         }
-        ReadingLine<PrefillRequest>.Place entry = request.queueEntry();
-        boolean waitedLong = entry != null && entry.expired(context.now());
-        if (waitedLong || verdict == ReadingPool.Verdict.CALLER_LEAVES_SOONER) {
+        PrefillQueue<PrefillRequest>.Position entry = request.queueEntry();
+        boolean waitedLong = entry != null && entry.hasExpired(context.now());
+        if (waitedLong || verdict == PrefillPlanner.Verdict.CALLER_LEAVES_SOONER) {
             remove(request);
             request.refuse(prefillEngine, verdict, describeInputs(request, prefillEngine, remaining));
             return true;
@@ -116,12 +118,13 @@
                 request.promptTokens(), List.of(), context.settings().zone());
     }
 
-    private ReadingPool.Verdict judge(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
+    private PrefillPlanner.Verdict judge(
+            PrefillRequest request, Endpoint prefillEngine, PrefillPlanner.Deadline remaining) {
         return engines.judge(prefillEngine, request.promptTokens(), remaining);
     }
 
-    private String describeInputs(PrefillRequest request, Endpoint prefillEngine, ReadingPool.Due remaining) {
-        ReadingLine<PrefillRequest>.Place entry = request.queueEntry();
+    private String describeInputs(PrefillRequest request, Endpoint prefillEngine, PrefillPlanner.Deadline remaining) {
+        PrefillQueue<PrefillRequest>.Position entry = request.queueEntry();
         long waitedMillis = entry == null ? 0 : entry.waitedMillis(context.now());
         return engines.describeInputs(prefillEngine, request.promptTokens(), remaining) + " waited_ms=" + waitedMillis
                 + " waiting=" + queue.size();
@@ -131,7 +134,7 @@
     private Optional<Endpoint> findDecodeEngine(PrefillRequest request) {
         long now = context.now();
         double millisPerToken = engines.millisPerToken();
-        Optional<Endpoint> engine = inPlace.engine(
+        Optional<Endpoint> engine = inPlace.selectEngine(
                         context.directory().usable(service, Stage.DECODE),
                         candidate -> candidate.member().id(),
                         request.promptTokens(),
@@ -159,8 +162,8 @@
     /** Begins or refuses at most one prompt: the load that a prompt adds to the engines is known only after it is sent. */
     private void checkQueue() {
         int sizeBefore = queue.size();
-        for (ReadingLine<PrefillRequest>.Place entry : queue.order(context.now())) {
-            PrefillRequest request = entry.waiting();
+        for (PrefillQueue<PrefillRequest>.Position entry : queue.inOrder(context.now())) {
+            PrefillRequest request = entry.prompt();
             decide(request, request.remaining());
             if (queue.size() < sizeBefore) {
                 return;
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
@@ -180,7 +180,7 @@
             return;
         }
         String service = route.serviceFor(ThreadLocalRandom.current().nextDouble());
-        context.retries(service).request(context.now());
+        context.retries(service).recordRequest(context.now());
         RunLog log = new RunLog(context.metrics(), exchange, route, service, version);
         if (route.kind() == CallKind.STREAM) {
             new GenerationRun(context, exchange, route, service, log).start();
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
-import org.quetzalseam.core.drain.AnswerTime;
+import org.quetzalseam.core.drain.AnswerTimeModel;
 import org.quetzalseam.core.drain.GracePeriod;
 import org.quetzalseam.core.fleet.Stage;
-import org.quetzalseam.core.limits.CallerPatience;
 import org.quetzalseam.core.limits.ConnectionShare;
+import org.quetzalseam.core.limits.EarlierWaitEstimator;
 import org.quetzalseam.core.limits.RetryAllowance;
 import org.quetzalseam.core.routing.RouteRule;
 import org.quetzalseam.core.routing.ServiceRule;
@@ -48,8 +48,8 @@
     private @Nullable GracePeriod grace;
     private List<ServiceRule> services = List.of();
     private final Map<String, RetryAllowance> retries = new HashMap<>();
-    private final Map<String, CallerPatience> callerWaits = new HashMap<>();
-    private final Map<String, AnswerTime> answerTimes = new HashMap<>();
+    private final Map<String, EarlierWaitEstimator> callerWaits = new HashMap<>();
+    private final Map<String, AnswerTimeModel> answerTimes = new HashMap<>();
     private final Map<String, BookingManager> bookings = new HashMap<>();
 
     RunContext(Timers timers, Protocol protocol, Directory directory, EntrySettings settings, GatewayMetrics metrics) {
@@ -80,8 +80,8 @@
     void settings(EntrySettings newSettings) {
         settings = newSettings;
         retries.values()
-                .forEach(allowance ->
-                        allowance.change(newSettings.retryRatio(), newSettings.retrySlack(), windowNanos(newSettings)));
+                .forEach(allowance -> allowance.updateBudget(
+                        newSettings.retryRatio(), newSettings.retrySlack(), windowNanos(newSettings)));
     }
 
     GatewayMetrics metrics() {
@@ -115,7 +115,7 @@
     }
 
     private boolean acquireRetries(String service, int count) {
-        boolean allowed = retries(service).retries(now(), count);
+        boolean allowed = retries(service).tryRetries(now(), count);
         metrics.retry(service, allowed);
         return allowed;
     }
@@ -127,7 +127,7 @@
         return String.format(
                 Locale.ROOT,
                 "budget_left=%d budget_requests=%d budget_retries=%d budget_slack=%.1f entries=%d up_ms=%d",
-                inputs.left(),
+                inputs.retriesLeft(),
                 inputs.requests(),
                 inputs.retries(),
                 inputs.slack(),
@@ -160,7 +160,7 @@
 
     void entries(EntryCount counted) {
         entries = counted;
-        retries.values().forEach(allowance -> allowance.entries(counted.entries()));
+        retries.values().forEach(allowance -> allowance.updateEntryCount(counted.entries()));
         bookings.values().forEach(manager -> manager.entries(counted));
         shareConnections();
     }
@@ -187,7 +187,7 @@
                 new RetryAllowance(settings.retryRatio(), settings.retrySlack(), windowNanos(settings), createdAt);
         EntryCount counted = entries;
         if (counted != null) {
-            allowance.entries(counted.entries());
+            allowance.updateEntryCount(counted.entries());
         }
         return allowance;
     }
@@ -196,8 +196,8 @@
         return TimeUnit.MILLISECONDS.toNanos(settings.retryWindowMillis());
     }
 
-    CallerPatience callerWaits(String route) {
-        return callerWaits.computeIfAbsent(route, name -> new CallerPatience());
+    EarlierWaitEstimator callerWaits(String route) {
+        return callerWaits.computeIfAbsent(route, name -> new EarlierWaitEstimator());
     }
 
     /** Starts draining because the process is to stop. Further calls have no effect and do not postpone the end. */
@@ -221,20 +221,20 @@
             return true;
         }
         long remainingMillis = new ForwardedRequest(exchange, protocol, route).remainingMillis();
-        long usualMillis = answerTime(route).boundMillis(exchange.facts().estimate(), period.certainty(now()));
+        long usualMillis = answerTime(route).boundMillis(exchange.facts().estimate(), period.requiredDeviations(now()));
         long boundMillis = Math.min(remainingMillis, usualMillis);
-        if (period.take(now(), boundMillis)) {
+        if (period.accept(now(), boundMillis)) {
             return true;
         }
         logger.atInfo().log(
                 "event=refused-leaving request=%s bound_ms=%d left_ms=%d age_ms=%d",
-                exchange.facts().id(), boundMillis, period.leftMillis(now()), exchange.ageMillis());
+                exchange.facts().id(), boundMillis, period.remainingMillis(now()), exchange.ageMillis());
         return false;
     }
 
     /** Returns the statistics of the answer times of a route. */
-    AnswerTime answerTime(RouteRule route) {
-        return answerTimes.computeIfAbsent(route.name(), name -> new AnswerTime());
+    AnswerTimeModel answerTime(RouteRule route) {
+        return answerTimes.computeIfAbsent(route.name(), name -> new AnswerTimeModel());
     }
 
     BookingManager bookings(String service) {
@@ -253,7 +253,7 @@
     /** Refuses a request because this entry stops before the request would end. */
     void refuseDraining(Exchange exchange) {
         GracePeriod period = Objects.requireNonNull(grace, "the entry is not draining");
-        answerRefused(exchange, STOPS_SOONER, period.comeBackMillis(now(), random()));
+        answerRefused(exchange, STOPS_SOONER, period.retryAfterMillis(now(), random()));
     }
 
     /** Refuses a request that has not run and will not run, with the time after which to retry. */
@@ -262,7 +262,7 @@
         answerRefused(
                 exchange,
                 why,
-                period == null ? retryAfterMillis : period.comeBackMillis(now(), random(), retryAfterMillis));
+                period == null ? retryAfterMillis : period.retryAfterMillis(now(), random(), retryAfterMillis));
     }
 
     private static double random() {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
@@ -1,7 +1,7 @@
 package org.quetzalseam.gateway.route;
 
 import com.google.common.flogger.FluentLogger;
-import org.quetzalseam.core.generation.ReadingPool;
+import org.quetzalseam.core.generation.PrefillPlanner;
 import org.quetzalseam.core.routing.RouteRule;
 import org.quetzalseam.gateway.caller.Exchange;
 import org.quetzalseam.gateway.endpoint.Endpoint;
@@ -84,12 +84,12 @@
     }
 
     /** Logs that a prompt is queued, and why. */
-    void prefillQueued(Endpoint engine, ReadingPool.Verdict verdict, String inputs) {
+    void prefillQueued(Endpoint engine, PrefillPlanner.Verdict verdict, String inputs) {
         step("prompt-waits", engine, "verdict=" + verdict + " " + inputs);
     }
 
     /** Logs that a prompt is refused without having begun, and why. */
-    void prefillNotBegun(Endpoint engine, ReadingPool.Verdict verdict, String inputs) {
+    void prefillNotBegun(Endpoint engine, PrefillPlanner.Verdict verdict, String inputs) {
         step("prompt-not-begun", engine, "verdict=" + verdict + " " + inputs);
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
@@ -167,7 +167,7 @@
         finish("answered", answer.status().code());
         if (!serverFault) {
             // A failure is excluded because it may arrive sooner than the answer that it replaces.
-            context.answerTime(route).ended(exchange.facts().estimate(), exchange.ageMillis());
+            context.answerTime(route).recordAnswer(exchange.facts().estimate(), exchange.ageMillis());
         }
         exchange.answer(answer, body);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageController.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageController.java
@@ -176,7 +176,7 @@
         }
         if (ordersNotRejected > 0) {
             cooldownEndNanos = timers.now() + ORDER_COOLDOWN_MILLIS * 1_000_000;
-            split.changed();
+            split.stageChanged();
         }
     }
 
--- a/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/stage/StageLease.java
@@ -67,7 +67,7 @@
     }
 
     boolean held() {
-        return lease.held();
+        return lease.isHeld();
     }
 
     long epoch() {
@@ -83,11 +83,11 @@
         if (callInFlight) {
             return;
         }
-        if (!lease.known()) {
+        if (!lease.isKnown()) {
             read();
-        } else if (lease.held()) {
+        } else if (lease.isHeld()) {
             renew(() -> {});
-        } else if (lease.lapsed(timers.now())) {
+        } else if (lease.hasLapsed(timers.now())) {
             takeOver(true);
         } else {
             checkHolder();
@@ -117,7 +117,7 @@
 
     private void readFailed(StoreFailure failure) {
         callInFlight = false;
-        if (failure.kind() == StoreFailure.Kind.NOT_FOUND && !lease.known()) {
+        if (failure.kind() == StoreFailure.Kind.NOT_FOUND && !lease.isKnown()) {
             create();
             return;
         }
@@ -209,8 +209,8 @@
     /** Notes a record that this process has written in place of nobody's or another one's. */
     private void onAcquired(StoredObject object, boolean after, String before) {
         onRecord(object);
-        if (lease.held()) {
-            lease.taken(after, timers.now());
+        if (lease.isHeld()) {
+            lease.acquired(after, timers.now());
             logger.atInfo().log("event=lease-taken service=%s epoch=%d before=%s", service, lease.epoch(), before);
         }
     }
@@ -221,17 +221,17 @@
             // An old answer: what is known already is newer.
             return;
         }
-        boolean heldBefore = lease.held();
+        boolean heldBefore = lease.isHeld();
         recordEverSeen = true;
         newestPosition = StorePosition.later(newestPosition, object.position());
         record = read(object);
         highestEpoch = Math.max(highestEpoch, record.epoch());
-        lease.seen(record.holder(), record.epoch(), object.position(), timers.now());
-        if (!heldBefore && lease.held()) {
+        lease.observe(record.holder(), record.epoch(), object.position(), timers.now());
+        if (!heldBefore && lease.isHeld()) {
             // Nothing tells yet that no order of a holder before is on its way.
-            lease.taken(true, timers.now());
+            lease.acquired(true, timers.now());
         }
-        if (heldBefore && !lease.held()) {
+        if (heldBefore && !lease.isHeld()) {
             logger.atInfo().log("event=lease-lost service=%s to=%s epoch=%d", service, holder(), record.epoch());
         }
     }
@@ -284,7 +284,7 @@
     }
 
     private void forget() {
-        if (lease.held()) {
+        if (lease.isHeld()) {
             logger.atInfo().log("event=lease-lost service=%s to=%s epoch=%d", service, NO_HOLDER_NAME, lease.epoch());
         }
         lease.forget();
