--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
@@ -62,9 +62,9 @@
     }
 
     /** Records the pace at which the caller received events, if any. */
-    void recordStreamPace(StreamPace pace, long earlierAttemptsMillis) {
+    void recordStreamPace(StreamPace pace, long earlierWaitMillis) {
         if (pace.pieces() > 0) {
-            log.streamed(pace, earlierAttemptsMillis);
+            log.streamed(pace, earlierWaitMillis);
             bookings.prefillEngines().recordFirstEvent(prefilledAtMillis, pace.firstMillis());
         }
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -48,7 +48,7 @@
     private @Nullable GracePeriod grace;
     private List<ServiceRule> services = List.of();
     private final Map<String, RetryAllowance> retries = new HashMap<>();
-    private final Map<String, EarlierWaitEstimator> callerWaits = new HashMap<>();
+    private final Map<String, EarlierWaitEstimator> earlierWaits = new HashMap<>();
     private final Map<String, AnswerTimeModel> answerTimes = new HashMap<>();
     private final Map<String, BookingManager> bookings = new HashMap<>();
 
@@ -196,8 +196,8 @@
         return TimeUnit.MILLISECONDS.toNanos(settings.retryWindowMillis());
     }
 
-    EarlierWaitEstimator callerWaits(String route) {
-        return callerWaits.computeIfAbsent(route, name -> new EarlierWaitEstimator());
+    EarlierWaitEstimator earlierWaits(String route) {
+        return earlierWaits.computeIfAbsent(route, name -> new EarlierWaitEstimator());
     }
 
     /** Starts draining because the process is to stop. Further calls have no effect and do not postpone the end. */
