--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -16,7 +16,7 @@
 
     private final RunContext context;
     private final String service;
-    private final PrefillPlanner<Endpoint> pool = new PrefillPlanner<>();
+    private final PrefillPlanner<Endpoint> planner = new PrefillPlanner<>();
 
     PrefillEngines(RunContext context, String service) {
         this.context = context;
@@ -25,12 +25,12 @@
     }
 
     private void forgetRemoved() {
-        pool.removeEngines(engine -> !context.directory().usable(engine));
+        planner.removeEngines(engine -> !context.directory().usable(engine));
     }
 
     /** Sets the number of entries that share the engines. */
     void entries(int counted) {
-        pool.updateEntryCount(counted);
+        planner.updateEntryCount(counted);
     }
 
     private List<Endpoint> usable() {
@@ -49,17 +49,17 @@
         Comparator<Endpoint> ties = Comparator.<Endpoint, Boolean>comparing(
                         engine -> !engine.member().zone().equals(zone))
                 .thenComparing(engine -> ThreadLocalRandom.current().nextInt());
-        return pool.selectEngine(healthy.isEmpty() ? reachable : healthy, tokens, now, ties);
+        return planner.selectEngine(healthy.isEmpty() ? reachable : healthy, tokens, now, ties);
     }
 
     /** Returns whether an engine should begin a prompt now. */
     PrefillPlanner.Verdict judge(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
-        return pool.judge(engine, usable().size(), tokens, remaining, context.now());
+        return planner.judge(engine, usable().size(), tokens, remaining, context.now());
     }
 
     /** Returns the usual prefill time per token in milliseconds; 0 before any prompt has been prefilled. */
     double millisPerToken() {
-        return pool.millisPerToken();
+        return planner.millisPerToken();
     }
 
     /** Returns whether the first event for a prompt is predicted to miss the objective. */
@@ -72,28 +72,28 @@
         long now = context.now();
         return String.format(
                 "predicted_ms=%.0f queue_ms=%.0f in_time_ms=%.0f left_ms=%.0f tokens=%d share_left=%.0f",
-                pool.predictFirstEventMillis(engine, tokens, now),
-                pool.queueMillis(engine, now),
+                planner.predictFirstEventMillis(engine, tokens, now),
+                planner.queueMillis(engine, now),
                 remaining.untilObjectiveMillis(),
                 remaining.untilAbandonedMillis(),
                 tokens,
-                pool.shareLeft());
+                planner.shareLeft());
     }
 
     /** Returns the predicted time until the first event for a prompt that an engine begins now, in milliseconds. */
     double firstEventMillis(Endpoint engine, int tokens) {
-        return pool.predictFirstEventMillis(engine, tokens, context.now());
+        return planner.predictFirstEventMillis(engine, tokens, context.now());
     }
 
     /** Records when a generation's prompt was prefilled, 0 if no prefill engine did so, and when its first event came. */
     void recordFirstEvent(long prefilledAtMillis, long firstEventMillis) {
         if (prefilledAtMillis > 0 && firstEventMillis > prefilledAtMillis) {
-            pool.recordFirstEvent((double) (firstEventMillis - prefilledAtMillis));
+            planner.recordFirstEvent((double) (firstEventMillis - prefilledAtMillis));
         }
     }
 
     PrefillPlanner<Endpoint>.Prefill begin(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
-        return pool.begin(engine, tokens, context.now(), remaining.objectiveMillis());
+        return planner.begin(engine, tokens, context.now(), remaining.objectiveMillis());
     }
 
     /** Returns whether a prefill should be restarted at another engine. */
@@ -106,7 +106,7 @@
     double retryAfterMillis(double objectiveMillis) {
         long now = context.now();
         return usable().stream()
-                .mapToDouble(engine -> pool.retryAfterMillis(engine, objectiveMillis, now))
+                .mapToDouble(engine -> planner.retryAfterMillis(engine, objectiveMillis, now))
                 .min()
                 .orElse(0);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRequest.java
@@ -24,7 +24,7 @@
     private final FirstEventDeadline deadline;
     private final RunLog log;
     private final Listener listener;
-    private PrefillQueue<PrefillRequest>.@Nullable Position queueEntry;
+    private PrefillQueue<PrefillRequest>.@Nullable Position queuePosition;
     private boolean triedInPlace;
 
     PrefillRequest(int promptTokens, FirstEventDeadline deadline, RunLog log, Listener listener) {
@@ -58,14 +58,14 @@
         return triedInPlace;
     }
 
-    /** Returns its current or last queue entry; null if it was never queued. */
-    PrefillQueue<PrefillRequest>.@Nullable Position queueEntry() {
-        return queueEntry;
+    /** Returns its current or last position in the queue; null if it was never queued. */
+    PrefillQueue<PrefillRequest>.@Nullable Position queuePosition() {
+        return queuePosition;
     }
 
-    /** Sets its queue entry. */
-    void queueEntry(PrefillQueue<PrefillRequest>.Position newEntry) {
-        queueEntry = newEntry;
+    /** Sets its position in the queue. */
+    void queuePosition(PrefillQueue<PrefillRequest>.Position newPosition) {
+        queuePosition = newPosition;
     }
 
     /** Logs why it has to wait. */
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -46,7 +46,7 @@
     void submit(PrefillRequest request) {
         PrefillPlanner.Deadline remaining = request.remaining();
         if (queue.mustQueue(remaining, context.now()) || !decide(request, remaining)) {
-            request.queueEntry(queue.add(request, remaining, context.now()));
+            request.queuePosition(queue.add(request, remaining, context.now()));
             best(request)
                     .ifPresent(engine -> request.logQueued(
                             engine, judge(request, engine, remaining), describeInputs(request, engine, remaining)));
@@ -56,9 +56,9 @@
 
     /** Removes a prompt that no longer needs prefill from the queue. Does nothing if it is not queued. */
     void remove(PrefillRequest request) {
-        PrefillQueue<PrefillRequest>.Position entry = request.queueEntry();
-        if (entry != null) {
-            queue.remove(entry);
+        PrefillQueue<PrefillRequest>.Position position = request.queuePosition();
+        if (position != null) {
+            queue.remove(position);
         }
     }
 
@@ -103,8 +103,8 @@
             request.beginPrefill(Optional.of(prefillEngine));
             return true;
         }
-        PrefillQueue<PrefillRequest>.Position entry = request.queueEntry();
-        boolean waitedLong = entry != null && entry.hasExpired(context.now());
+        PrefillQueue<PrefillRequest>.Position position = request.queuePosition();
+        boolean waitedLong = position != null && position.hasExpired(context.now());
         if (waitedLong || verdict == PrefillPlanner.Verdict.CALLER_LEAVES_SOONER) {
             remove(request);
             request.refuse(prefillEngine, verdict, describeInputs(request, prefillEngine, remaining));
@@ -124,8 +124,8 @@
     }
 
     private String describeInputs(PrefillRequest request, Endpoint prefillEngine, PrefillPlanner.Deadline remaining) {
-        PrefillQueue<PrefillRequest>.Position entry = request.queueEntry();
-        long waitedMillis = entry == null ? 0 : entry.waitedMillis(context.now());
+        PrefillQueue<PrefillRequest>.Position position = request.queuePosition();
+        long waitedMillis = position == null ? 0 : position.waitedMillis(context.now());
         return engines.describeInputs(prefillEngine, request.promptTokens(), remaining) + " waited_ms=" + waitedMillis
                 + " waiting=" + queue.size();
     }
@@ -162,8 +162,8 @@
     /** Begins or refuses at most one prompt: the load that a prompt adds to the engines is known only after it is sent. */
     private void checkQueue() {
         int sizeBefore = queue.size();
-        for (PrefillQueue<PrefillRequest>.Position entry : queue.inOrder(context.now())) {
-            PrefillRequest request = entry.prompt();
+        for (PrefillQueue<PrefillRequest>.Position position : queue.inOrder(context.now())) {
+            PrefillRequest request = position.prompt();
             decide(request, request.remaining());
             if (queue.size() < sizeBefore) {
                 return;
