--- a/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/FirstEventDeadline.java
@@ -9,13 +9,13 @@
     private final Exchange exchange;
     private final RouteRule route;
     private final ForwardedRequest forwarded;
-    private final long earlierWaitMillis;
+    private final long earlierAttemptsMillis;
 
-    FirstEventDeadline(Exchange exchange, RouteRule route, ForwardedRequest forwarded, long earlierWaitMillis) {
+    FirstEventDeadline(Exchange exchange, RouteRule route, ForwardedRequest forwarded, long earlierAttemptsMillis) {
         this.exchange = exchange;
         this.route = route;
         this.forwarded = forwarded;
-        this.earlierWaitMillis = earlierWaitMillis;
+        this.earlierAttemptsMillis = earlierAttemptsMillis;
     }
 
     /** Returns the longest pause between events that meets the objective, in milliseconds; 0 if there is no such objective. */
@@ -25,7 +25,7 @@
 
     /** Returns the time left at this moment. An answer whose first event arrives after its caller has given up is of no use. */
     PrefillPlanner.Deadline remaining() {
-        double toObjective = (double) route.targetLatencyMillis() - exchange.ageMillis() - earlierWaitMillis;
+        double toObjective = (double) route.targetLatencyMillis() - exchange.ageMillis() - earlierAttemptsMillis;
         long toTimeout = Math.min(forwarded.remainingMillis(), route.idleTimeoutMillis() - exchange.ageMillis());
         return new PrefillPlanner.Deadline(toObjective, (double) toTimeout, (double) route.targetLatencyMillis());
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
@@ -31,7 +31,7 @@
     private final RunContext context;
     private final String service;
     private final FirstEventDeadline deadline;
-    private final long earlierWaitMillis;
+    private final long earlierAttemptsMillis;
     private final RunLog log;
     private final Listener listener;
     private final BookingManager bookings;
@@ -42,13 +42,13 @@
             RunContext context,
             String service,
             FirstEventDeadline deadline,
-            long earlierWaitMillis,
+            long earlierAttemptsMillis,
             RunLog log,
             Listener listener) {
         this.context = context;
         this.service = service;
         this.deadline = deadline;
-        this.earlierWaitMillis = earlierWaitMillis;
+        this.earlierAttemptsMillis = earlierAttemptsMillis;
         this.log = log;
         this.listener = listener;
         this.bookings = context.bookings(service);
@@ -116,7 +116,7 @@
         bookingRequest = null;
         if (refusedRequest != null) {
             int engines = context.directory().usable(service, Stage.DECODE).size();
-            log.notBooked(refusedRequest, engines, earlierWaitMillis, why);
+            log.notBooked(refusedRequest, engines, earlierAttemptsMillis, why);
         }
         PrefillRequest triedInPlace = prefillRequest;
         if (triedInPlace != null) {
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
@@ -38,7 +38,7 @@
     private @Nullable PrefillRun prefill;
     private @Nullable EndpointCall decodeCall;
     private @Nullable ScheduledCall deadlineTimer;
-    private final long earlierWaitMillis;
+    private final long earlierAttemptsMillis;
     private boolean mayHaveRun;
     private boolean finished;
 
@@ -54,9 +54,9 @@
         this.relay = new StreamRelay(exchange, log);
         this.attempts = new GenerationAttempts(context, route, service);
         this.forwarded = new ForwardedRequest(exchange, context.protocol(), route);
-        this.earlierWaitMillis = context.earlierWaits(route.name())
+        this.earlierAttemptsMillis = context.earlierWaits(route.name())
                 .estimateMillis(exchange.facts().callerTimeoutMillis());
-        this.deadline = new FirstEventDeadline(exchange, route, forwarded, earlierWaitMillis);
+        this.deadline = new FirstEventDeadline(exchange, route, forwarded, earlierAttemptsMillis);
     }
 
     void start() {
@@ -79,7 +79,7 @@
 
     private void bookMemory(TokenDemand demand) {
         GenerationAdmission newAdmission = new GenerationAdmission(
-                context, service, deadline, earlierWaitMillis, log, new GenerationAdmission.Listener() {
+                context, service, deadline, earlierAttemptsMillis, log, new GenerationAdmission.Listener() {
                     @Override
                     public void booked(BookedMemory memory) {
                         memoryBooked(memory);
@@ -404,7 +404,7 @@
         }
         held.release();
         statistics.recordWastedPrefill();
-        statistics.recordStreamPace(relay.pace(), earlierWaitMillis);
+        statistics.recordStreamPace(relay.pace(), earlierAttemptsMillis);
         log.ended(outcome, status, attempts.count());
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationStatistics.java
@@ -62,9 +62,9 @@
     }
 
     /** Records the pace at which the caller received events, if any. */
-    void recordStreamPace(StreamPace pace, long earlierWaitMillis) {
+    void recordStreamPace(StreamPace pace, long earlierAttemptsMillis) {
         if (pace.pieces() > 0) {
-            log.streamed(pace, earlierWaitMillis);
+            log.streamed(pace, earlierAttemptsMillis);
             bookings.prefillEngines().recordFirstEvent(prefilledAtMillis, pace.firstMillis());
         }
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
@@ -35,7 +35,7 @@
         step("booked", engine, "tokens=" + tokens);
     }
 
-    void notBooked(BookingRequest request, int engines, long earlierWaitMillis, String why) {
+    void notBooked(BookingRequest request, int engines, long earlierAttemptsMillis, String why) {
         logger.atInfo().log(
                 "event=booking-refused request=%s service=%s why=\"%s\" tokens=%d room=%d engines=%d asked=%d"
                         + " spent_before_ms=%d age_ms=%d",
@@ -46,11 +46,11 @@
                 request.room(),
                 engines,
                 request.inquiries(),
-                earlierWaitMillis,
+                earlierAttemptsMillis,
                 exchange.ageMillis());
     }
 
-    void streamed(StreamPace pace, long earlierWaitMillis) {
+    void streamed(StreamPace pace, long earlierAttemptsMillis) {
         metrics.longestPause(route.name(), pace.longestPauseMillis());
         logger.atInfo().log(
                 "event=stream-ended request=%s events=%d first_event_ms=%d longest_pause_ms=%d spent_before_ms=%d age_ms=%d",
@@ -58,7 +58,7 @@
                 pace.pieces(),
                 pace.firstMillis(),
                 pace.longestPauseMillis(),
-                earlierWaitMillis,
+                earlierAttemptsMillis,
                 exchange.ageMillis());
     }
 
