--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryRestoreTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryRestoreTest.java
@@ -71,7 +71,7 @@
         put("b");
         passSeconds(20);
         assertThat(counted)
-                .as("a share of a budget that is too large for a moment")
+                .as("a lower count would allow too large a budget share for a moment")
                 .isEmpty();
     }
 
