--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillEngines.java
@@ -9,14 +9,14 @@
 import org.quetzalseam.core.generation.PrefillPlanner;
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
-/** A service's prefill engines as this entry sees them. Used on the event loop only. */
+/** The prefill engines of a service, with this entry's estimates of their backlog. Used on the event loop only. */
 final class PrefillEngines {
-    /** How often engines that are gone are forgotten, in milliseconds. */
+    /** Interval at which removed engines are forgotten, in milliseconds. */
     private static final long FORGET_INTERVAL_MILLIS = 10_000;
 
     private final RunContext context;
     private final String service;
-    private final PrefillPlanner<Endpoint> pool = new PrefillPlanner<>();
+    private final PrefillPlanner<Endpoint> planner = new PrefillPlanner<>();
 
     PrefillEngines(RunContext context, String service) {
         this.context = context;
@@ -25,88 +25,88 @@
     }
 
     private void forgetRemoved() {
-        pool.removeEngines(engine -> !context.directory().usable(engine));
+        planner.removeEngines(engine -> !context.directory().usable(engine));
     }
 
-    /** Sets among how many entries the engines are shared. */
+    /** Sets the number of entries that share the engines. */
     void entries(int counted) {
-        pool.updateEntryCount(counted);
+        planner.updateEntryCount(counted);
     }
 
     private List<Endpoint> usable() {
         return EngineExclusion.withoutExcluded(context.directory().usable(service, Stage.PREFILL), context.now());
     }
 
-    /** Returns the engine that is predicted to have read a prompt first, one in the zone among equals. */
-    Optional<Endpoint> best(int tokens, Collection<Endpoint> without, String zone) {
+    /** Returns the engine that is predicted to finish prefilling a prompt first; among equals, one in the zone. */
+    Optional<Endpoint> best(int tokens, Collection<Endpoint> excluded, String zone) {
         long now = context.now();
         List<Endpoint> reachable = usable().stream()
-                .filter(engine -> !without.contains(engine) && engine.hasFreeConnection())
+                .filter(engine -> !excluded.contains(engine) && engine.hasFreeConnection())
                 .toList();
-        List<Endpoint> sound = reachable.stream()
+        List<Endpoint> healthy = reachable.stream()
                 .filter(engine -> !engine.health().isSuspect(now))
                 .toList();
         Comparator<Endpoint> ties = Comparator.<Endpoint, Boolean>comparing(
                         engine -> !engine.member().zone().equals(zone))
                 .thenComparing(engine -> ThreadLocalRandom.current().nextInt());
-        return pool.selectEngine(sound.isEmpty() ? reachable : sound, tokens, now, ties);
+        return planner.selectEngine(healthy.isEmpty() ? reachable : healthy, tokens, now, ties);
     }
 
-    /** Returns whether a prompt is worth beginning at an engine. */
-    PrefillPlanner.Verdict judge(Endpoint engine, int tokens, PrefillPlanner.Deadline due) {
-        return pool.judge(engine, usable().size(), tokens, due, context.now());
+    /** Returns whether an engine should begin a prompt now. */
+    PrefillPlanner.Verdict judge(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
+        return planner.judge(engine, usable().size(), tokens, remaining, context.now());
     }
 
-    /** Returns the usual time of a prefill engine for a token in milliseconds; 0 before any prompt has been read. */
+    /** Returns the usual prefill time per token in milliseconds; 0 before any prompt has been prefilled. */
     double millisPerToken() {
-        return pool.millisPerToken();
+        return planner.millisPerToken();
     }
 
-    /** Returns whether a prompt's first event is predicted to miss the objective. */
-    boolean missesObjective(Endpoint engine, int tokens, PrefillPlanner.Deadline due) {
-        return firstEventMillis(engine, tokens) > due.untilObjectiveMillis();
+    /** Returns whether the first event for a prompt is predicted to miss the objective. */
+    boolean missesObjective(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
+        return firstEventMillis(engine, tokens) > remaining.untilObjectiveMillis();
     }
 
-    /** Returns the inputs of a verdict on a prompt, for the log. */
-    String describeInputs(Endpoint engine, int tokens, PrefillPlanner.Deadline due) {
+    /** Returns the inputs of a verdict on a prompt as {@code key=value} pairs for the log. */
+    String describeInputs(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
         long now = context.now();
         return String.format(
                 "predicted_ms=%.0f queue_ms=%.0f in_time_ms=%.0f left_ms=%.0f tokens=%d share_left=%.0f",
-                pool.predictFirstEventMillis(engine, tokens, now),
-                pool.queueMillis(engine, now),
-                due.untilObjectiveMillis(),
-                due.untilAbandonedMillis(),
+                planner.predictFirstEventMillis(engine, tokens, now),
+                planner.queueMillis(engine, now),
+                remaining.untilObjectiveMillis(),
+                remaining.untilAbandonedMillis(),
                 tokens,
-                pool.shareLeft());
+                planner.shareLeft());
     }
 
-    /** Returns when a prompt's first event comes that an engine begins now, in milliseconds. */
+    /** Returns the predicted time until the first event for a prompt that an engine begins now, in milliseconds. */
     double firstEventMillis(Endpoint engine, int tokens) {
-        return pool.predictFirstEventMillis(engine, tokens, context.now());
+        return planner.predictFirstEventMillis(engine, tokens, context.now());
     }
 
-    /** Notes when a generation's prompt was read, 0 for one that no engine here has read, and when its first event came. */
-    void recordFirstEvent(long readAtMillis, long firstEventMillis) {
-        if (readAtMillis > 0 && firstEventMillis > readAtMillis) {
-            pool.recordFirstEvent((double) (firstEventMillis - readAtMillis));
+    /** Records when a generation's prompt was prefilled, 0 if no prefill engine did so, and when its first event came. */
+    void recordFirstEvent(long prefilledAtMillis, long firstEventMillis) {
+        if (prefilledAtMillis > 0 && firstEventMillis > prefilledAtMillis) {
+            planner.recordFirstEvent((double) (firstEventMillis - prefilledAtMillis));
         }
     }
 
-    PrefillPlanner<Endpoint>.Prefill begin(Endpoint engine, int tokens, PrefillPlanner.Deadline due) {
-        return pool.begin(engine, tokens, context.now(), due.objectiveMillis());
+    PrefillPlanner<Endpoint>.Prefill begin(Endpoint engine, int tokens, PrefillPlanner.Deadline remaining) {
+        return planner.begin(engine, tokens, context.now(), remaining.objectiveMillis());
     }
 
-    /** Returns whether a reading is to be begun elsewhere. */
-    boolean isLost(PrefillPlanner<Endpoint>.Prefill reading, Endpoint engine) {
-        boolean gone = !engine.member().draining() && !context.directory().usable(engine);
-        return reading.shouldRetryElsewhere(usable(), gone, context.now());
+    /** Returns whether a prefill should be restarted at another engine. */
+    boolean isLost(PrefillPlanner<Endpoint>.Prefill prefill, Endpoint engine) {
+        boolean removed = !engine.member().draining() && !context.directory().usable(engine);
+        return prefill.shouldRetryElsewhere(usable(), removed, context.now());
     }
 
-    /** Returns when the shortest backlog lets in more, in milliseconds; 0 where nothing reads. */
+    /** Returns the time until the shortest backlog admits more prompts, in milliseconds; 0 if there are no prefill engines. */
     double retryAfterMillis(double objectiveMillis) {
         long now = context.now();
         return usable().stream()
-                .mapToDouble(engine -> pool.retryAfterMillis(engine, objectiveMillis, now))
+                .mapToDouble(engine -> planner.retryAfterMillis(engine, objectiveMillis, now))
                 .min()
                 .orElse(0);
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillRun.java
@@ -15,37 +15,40 @@
 import org.quetzalseam.gateway.protocol.Forwarding;
 import org.quetzalseam.gateway.runtime.ScheduledCall;
 
-/** The reading of one request's prompt at a prefill engine. Used on the event loop only. */
+/** Prefills one request's prompt at a prefill engine, at another one if the first fails. Used on the event loop only. */
 final class PrefillRun {
-    /** The least time between two looks at a silent engine, in milliseconds: a few of its steps. */
+    /** Minimum time between two checks of an unresponsive engine, in milliseconds: a few engine steps. */
     private static final long MIN_CHECK_INTERVAL_MILLIS = 50;
-    /** Engines that are asked for one request. */
+    /** Maximum number of engines that one request is sent to for prefill. */
     private static final int MAX_ENGINES = 2;
 
-    /** Looks at a silent engine in the time after which it may be taken for dead. */
+    /** Number of checks per silence limit, the time without an answer after which an engine may be presumed dead. */
     private static final int CHECKS_PER_SILENCE_LIMIT = 4;
-    /** Why a prompt isn't begun. */
+    /** Reason given when a prompt is not begun. */
     static final String NOT_BEGUN_REASON = "the engines have no time to read the prompt now";
 
-    /** How long before its caller leaves a prompt that isn't read is given up, in milliseconds, so that the refusal still arrives. */
+    /**
+     * How long before its caller gives up an unfinished prefill is cancelled, in milliseconds, so that the refusal still
+     * arrives.
+     */
     private static final double REFUSAL_LEAD_MILLIS = 200;
-    /** The same, at most, as a part of the time that the caller had left. */
+    /** Upper limit of that lead, as a share of the time that the caller keeps waiting when the prompt is sent. */
     private static final double MAX_REFUSAL_LEAD_SHARE = 0.1;
 
     private static final int MAX_REPLY_BYTES = 64 * 1024;
 
-    /** What becomes of the reading. */
+    /** Receives the result of the prefill. */
     interface Listener {
-        /** The prompt's KV cache lies at the engine under the handle. */
-        void prefilled(Endpoint reader, String handle);
+        /** Called when the engine holds the KV cache of the prompt under the handle. */
+        void prefilled(Endpoint prefillEngine, String handle);
 
-        /** There is no prefill engine: the decode engine has to read the prompt. */
+        /** Called when there is no prefill engine: the decode engine has to prefill the prompt. */
         void noEngine();
 
-        /** The engines have no time for the prompt any more, and nothing has been sent. */
+        /** Called when the engines no longer have time for the prompt and nothing has been sent. */
         void notBegun();
 
-        /** The prompt couldn't be read. */
+        /** Called when the prompt could not be prefilled. */
         void failed(String why);
     }
 
@@ -58,7 +61,7 @@
     private final int promptTokens;
     private final RunLog log;
     private final Listener listener;
-    private final Set<Endpoint> tried = new HashSet<>();
+    private final Set<Endpoint> triedEngines = new HashSet<>();
     private PrefillPlanner<Endpoint>.@Nullable Prefill prefill;
     private @Nullable EndpointCall call;
     private @Nullable ScheduledCall checkTimer;
@@ -68,121 +71,132 @@
             RunContext context,
             Exchange exchange,
             ForwardedRequest forwarded,
-            FirstEventDeadline due,
+            FirstEventDeadline deadline,
             String service,
             int promptTokens,
             RunLog log,
-            Listener outcome) {
+            Listener listener) {
         this.context = context;
         this.exchange = exchange;
-        this.deadline = due;
+        this.deadline = deadline;
         this.engines = context.bookings(service).prefillEngines();
         this.forwarded = forwarded;
         this.service = service;
         this.promptTokens = promptTokens;
         this.log = log;
-        this.listener = outcome;
+        this.listener = listener;
     }
 
-    /** Asks the engine that is predicted to have read the prompt first, one near the decode engine among equals. */
-    void start(Endpoint decoder) {
+    /**
+     * Sends the prompt to the engine that is predicted to finish it first; among equals, to one in the zone of the decode
+     * engine.
+     */
+    void start(Endpoint decodeEngine) {
         Optional<Endpoint> chosen =
-                engines.best(promptTokens, tried, decoder.member().zone());
+                engines.best(promptTokens, triedEngines, decodeEngine.member().zone());
         if (chosen.isEmpty()) {
             listener.noEngine();
             return;
         }
         Endpoint engine = chosen.get();
-        PrefillPlanner.Deadline left = deadline.remaining();
-        PrefillPlanner.Verdict verdict = engines.judge(engine, promptTokens, left);
+        PrefillPlanner.Deadline remaining = deadline.remaining();
+        PrefillPlanner.Verdict verdict = engines.judge(engine, promptTokens, remaining);
         if (verdict != PrefillPlanner.Verdict.BEGIN) {
-            refuseOrPostpone(engine, verdict, left);
+            refuseOrPostpone(engine, verdict, remaining);
             return;
         }
-        send(engine, decoder, engines.begin(engine, promptTokens, left));
+        send(engine, decodeEngine, engines.begin(engine, promptTokens, remaining));
     }
 
-    /** Another engine's part of a prompt may have been read already, so only an untouched one can wait for its turn again. */
-    private void refuseOrPostpone(Endpoint engine, PrefillPlanner.Verdict verdict, PrefillPlanner.Deadline left) {
-        boolean untouched = tried.isEmpty() && verdict != PrefillPlanner.Verdict.CALLER_LEAVES_SOONER;
+    /**
+     * Only a prompt that no engine has received can be queued again: another engine may already have prefilled a part of
+     * it.
+     */
+    private void refuseOrPostpone(Endpoint engine, PrefillPlanner.Verdict verdict, PrefillPlanner.Deadline remaining) {
+        boolean untouched = triedEngines.isEmpty() && verdict != PrefillPlanner.Verdict.CALLER_LEAVES_SOONER;
         if (untouched) {
             listener.notBegun();
             return;
         }
-        log.prefillNotBegun(engine, verdict, engines.describeInputs(engine, promptTokens, left));
+        log.prefillNotBegun(engine, verdict, engines.describeInputs(engine, promptTokens, remaining));
         listener.failed(NOT_BEGUN_REASON);
     }
 
-    private void send(Endpoint engine, Endpoint decoder, PrefillPlanner<Endpoint>.Prefill begun) {
-        tried.add(engine);
-        prefill = begun;
+    private void send(Endpoint engine, Endpoint decodeEngine, PrefillPlanner<Endpoint>.Prefill newPrefill) {
+        triedEngines.add(engine);
+        prefill = newPrefill;
         long sentAt = context.now();
         ReplyCollector reply = new ReplyCollector(
                 MAX_REPLY_BYTES,
-                (answer, body) -> answered(engine, decoder, answer, body, sentAt),
-                failure -> failed(engine, decoder, failure));
-        EndpointCall asked = engine.send(
+                (answer, body) -> answered(engine, decodeEngine, answer, body, sentAt),
+                failure -> failed(engine, decodeEngine, failure));
+        EndpointCall newCall = engine.send(
                 forwarded.head(Forwarding.prefill(engine.member().id(), forwarded.remainingMillis())),
                 exchange.body(),
                 exchange.facts().id(),
                 reply);
-        call = asked;
-        scheduleCheck(Math.round(begun.unresponsiveLimitMillis()), asked, engine, decoder, begun);
-        double left = deadline.remaining().untilAbandonedMillis();
-        long until = Math.round(left - Math.min(REFUSAL_LEAD_MILLIS, MAX_REFUSAL_LEAD_SHARE * left));
-        giveUpTimer = context.after(Math.max(0, until), () -> giveUp(asked, engine));
+        call = newCall;
+        scheduleCheck(Math.round(newPrefill.unresponsiveLimitMillis()), newCall, engine, decodeEngine, newPrefill);
+        double remainingMillis = deadline.remaining().untilAbandonedMillis();
+        long giveUpAfterMillis =
+                Math.round(remainingMillis - Math.min(REFUSAL_LEAD_MILLIS, MAX_REFUSAL_LEAD_SHARE * remainingMillis));
+        giveUpTimer = context.after(Math.max(0, giveUpAfterMillis), () -> giveUp(newCall, engine));
     }
 
-    /** Nothing has run so far, so the caller may ask elsewhere. */
-    private void giveUp(EndpointCall asked, Endpoint engine) {
-        if (!asked.active()) {
+    /** Cancels the prefill shortly before the caller gives up. Nothing has run so far, so the caller may retry elsewhere. */
+    private void giveUp(EndpointCall prefillCall, Endpoint engine) {
+        if (!prefillCall.active()) {
             return;
         }
-        asked.cancel();
+        prefillCall.cancel();
         end();
         engine.health().recordFailure(context.now());
         log.callFailed(
                 "prefill",
                 engine,
-                new CallFailure(CallFailure.Kind.TIMED_OUT, "the caller leaves before the prompt is read"));
+                new CallFailure(CallFailure.Kind.TIMED_OUT, "the caller gives up before the prefill ends"));
         listener.failed("the prompt isn't read in time");
     }
 
     private void scheduleCheck(
             long millis,
-            EndpointCall asked,
+            EndpointCall prefillCall,
             Endpoint engine,
-            Endpoint decoder,
-            PrefillPlanner<Endpoint>.Prefill begun) {
+            Endpoint decodeEngine,
+            PrefillPlanner<Endpoint>.Prefill checkedPrefill) {
         checkTimer = context.after(Math.max(MIN_CHECK_INTERVAL_MILLIS, millis), () -> {
-            if (!asked.active()) {
+            if (!prefillCall.active()) {
                 return;
             }
-            if (tried.size() < MAX_ENGINES && engines.isLost(begun, engine)) {
-                asked.cancel();
-                failed(engine, decoder, new CallFailure(CallFailure.Kind.TIMED_OUT, "silent, while others read"));
+            if (triedEngines.size() < MAX_ENGINES && engines.isLost(checkedPrefill, engine)) {
+                prefillCall.cancel();
+                failed(
+                        engine,
+                        decodeEngine,
+                        new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in time, while other engines prefill"));
             } else {
                 scheduleCheck(
-                        Math.round(begun.unresponsiveLimitMillis() / CHECKS_PER_SILENCE_LIMIT),
-                        asked,
+                        Math.round(checkedPrefill.unresponsiveLimitMillis() / CHECKS_PER_SILENCE_LIMIT),
+                        prefillCall,
                         engine,
-                        decoder,
-                        begun);
+                        decodeEngine,
+                        checkedPrefill);
             }
         });
     }
 
-    private void answered(Endpoint engine, Endpoint decoder, HttpResponse answer, ByteBuf body, long sentAt) {
-        PrefillPlanner<Endpoint>.Prefill begun = prefill;
+    private void answered(Endpoint engine, Endpoint decodeEngine, HttpResponse answer, ByteBuf body, long sentAt) {
+        PrefillPlanner<Endpoint>.Prefill answeredPrefill = prefill;
         String text = ReplyCollector.text(body);
         body.release();
-        // A handle of an ended life may be another prompt's in the next.
+        // A handle of an ended incarnation may denote another prompt's cache in the next incarnation.
         Optional<String> handle = answer.status().code() == 200 && !engine.ended()
                 ? context.protocol().kvHandle(text)
                 : Optional.empty();
         double millis = (context.now() - sentAt) / 1e6;
-        if (handle.isPresent() && begun != null) {
-            begun.completed(context.now(), millis, deadline.remaining().objectiveMillis());
+        if (handle.isPresent() && answeredPrefill != null) {
+            answeredPrefill.completed(
+                    context.now(), millis, deadline.remaining().objectiveMillis());
         }
         end();
         if (handle.isEmpty()) {
@@ -191,36 +205,36 @@
                     "prefill-refused",
                     engine,
                     "status=" + answer.status().code() + " " + context.describeBudget(service));
-            retryElsewhere(decoder);
+            retryElsewhere(decodeEngine);
             return;
         }
         engine.workRejections().recordAcceptance();
         engine.health().recordSuccess(context.now(), millis);
-        long predicted = begun == null ? 0 : Math.round(begun.predictedMillis());
+        long predicted = answeredPrefill == null ? 0 : Math.round(answeredPrefill.predictedMillis());
         log.step("prefilled", engine, "took_ms=" + Math.round(millis) + " predicted_ms=" + predicted);
         listener.prefilled(engine, handle.get());
     }
 
-    private void failed(Endpoint engine, Endpoint decoder, CallFailure failure) {
+    private void failed(Endpoint engine, Endpoint decodeEngine, CallFailure failure) {
         end();
         engine.health().recordFailure(context.now());
         log.callFailed("prefill", engine, failure);
-        retryElsewhere(decoder);
+        retryElsewhere(decodeEngine);
     }
 
-    private void retryElsewhere(Endpoint decoder) {
-        if (tried.size() < MAX_ENGINES && context.acquireRetry(service)) {
-            start(decoder);
+    private void retryElsewhere(Endpoint decodeEngine) {
+        if (triedEngines.size() < MAX_ENGINES && context.acquireRetry(service)) {
+            start(decodeEngine);
             return;
         }
         listener.failed("the prompt can't be read");
     }
 
-    /** Gives the reading up, if it is still under way. */
+    /** Cancels the prefill, if it is still in progress. */
     void cancel() {
-        EndpointCall asked = call;
-        if (asked != null && asked.active()) {
-            asked.cancel();
+        EndpointCall currentCall = call;
+        if (currentCall != null && currentCall.active()) {
+            currentCall.cancel();
         }
         end();
     }
@@ -228,16 +242,16 @@
     private void end() {
         cancel(checkTimer);
         cancel(giveUpTimer);
-        PrefillPlanner<Endpoint>.Prefill begun = prefill;
-        if (begun != null) {
-            begun.aborted();
+        PrefillPlanner<Endpoint>.Prefill currentPrefill = prefill;
+        if (currentPrefill != null) {
+            currentPrefill.aborted();
             prefill = null;
         }
     }
 
-    private static void cancel(@Nullable ScheduledCall subscription) {
-        if (subscription != null) {
-            subscription.cancel();
+    private static void cancel(@Nullable ScheduledCall timer) {
+        if (timer != null) {
+            timer.cancel();
         }
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -29,9 +29,9 @@
 import org.quetzalseam.gateway.runtime.ScheduledCall;
 import org.quetzalseam.gateway.runtime.Timers;
 
-/** What all requests of an entry share. Used on the event loop only. */
+/** Holds the state that all requests of an entry share. Used on the event loop only. */
 final class RunContext {
-    /** Why a leaving entry doesn't begin a request. */
+    /** Reason given when a draining entry refuses a request. */
     private static final String STOPS_SOONER = "this entry stops before the answer would end";
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -42,13 +42,13 @@
     private final GatewayMetrics metrics;
     private final long createdAt;
     private EntrySettings settings;
-    /** The entries that share the site; null until they have been counted. */
+    /** The number of entries that share the site; null before the first count. */
     private @Nullable EntryCount entries;
 
     private @Nullable GracePeriod grace;
     private List<ServiceRule> services = List.of();
     private final Map<String, RetryAllowance> retries = new HashMap<>();
-    private final Map<String, EarlierWaitEstimator> callerWaits = new HashMap<>();
+    private final Map<String, EarlierWaitEstimator> earlierWaits = new HashMap<>();
     private final Map<String, AnswerTimeModel> answerTimes = new HashMap<>();
     private final Map<String, BookingManager> bookings = new HashMap<>();
 
@@ -77,11 +77,11 @@
         return settings;
     }
 
-    void settings(EntrySettings renewed) {
-        settings = renewed;
+    void settings(EntrySettings newSettings) {
+        settings = newSettings;
         retries.values()
-                .forEach(allowance ->
-                        allowance.updateBudget(renewed.retryRatio(), renewed.retrySlack(), windowNanos(renewed)));
+                .forEach(allowance -> allowance.updateBudget(
+                        newSettings.retryRatio(), newSettings.retrySlack(), windowNanos(newSettings)));
     }
 
     GatewayMetrics metrics() {
@@ -96,14 +96,15 @@
         return timers.after(millis, call);
     }
 
-    /** Takes one retry from this entry's share of the budget. Returns false when none is left. */
+    /** Takes one retry from this entry's share of the retry budget. Returns false if none is left. */
     boolean acquireRetry(String service) {
         return acquireRetries(service, 1);
     }
 
     /**
-     * Takes what another turn of a generation costs: one retry for its run, and one for the reading of its prompt, as only the
-     * first reading of a request is free. Returns false when the budget has less.
+     * Takes the cost of another attempt of a generation from the retry budget: one retry for the run, and one for the
+     * prefill of its prompt, because only the first prefill of a request is free. Returns false if less is left in the
+     * budget.
      */
     boolean acquireAttempt(String service) {
         return acquireRetries(service, arrivalsPerAttempt(service));
@@ -119,7 +120,7 @@
         return allowed;
     }
 
-    /** Returns the inputs of a decision on a retry at a service, for the log. */
+    /** Returns the inputs of a retry decision at a service as {@code key=value} pairs for the log. */
     String describeBudget(String service) {
         RetryAllowance.Inputs inputs = retries(service).inputs(now());
         EntryCount counted = entries;
@@ -134,12 +135,15 @@
                 TimeUnit.NANOSECONDS.toMillis(inputs.upNanos()));
     }
 
-    /** Decides whether a request that has run so often may be sent again, and takes the retry if so. */
+    /**
+     * Decides whether a request that may have run the given number of times is sent again; if so, takes the retry from the
+     * budget.
+     */
     RetryDecision decideRetry(RouteRule route, String service, int runs) {
         return decideRetry(route, service, runs, 1);
     }
 
-    /** The same for a generation, which takes another turn from booking to decoding. */
+    /** Decides the same for a generation, which needs another attempt from booking to decoding. */
     RetryDecision decideAttempt(RouteRule route, String service, int runs) {
         return decideRetry(route, service, runs, arrivalsPerAttempt(service));
     }
@@ -157,7 +161,7 @@
     void entries(EntryCount counted) {
         entries = counted;
         retries.values().forEach(allowance -> allowance.updateEntryCount(counted.entries()));
-        bookings.values().forEach(desk -> desk.entries(counted));
+        bookings.values().forEach(manager -> manager.entries(counted));
         shareConnections();
     }
 
@@ -192,11 +196,11 @@
         return TimeUnit.MILLISECONDS.toNanos(settings.retryWindowMillis());
     }
 
-    EarlierWaitEstimator callerWaits(String route) {
-        return callerWaits.computeIfAbsent(route, name -> new EarlierWaitEstimator());
+    EarlierWaitEstimator earlierWaits(String route) {
+        return earlierWaits.computeIfAbsent(route, name -> new EarlierWaitEstimator());
     }
 
-    /** Notes that the process has been told to stop. Being told again doesn't put the end off. */
+    /** Starts draining because the process is to stop. Further calls have no effect and do not postpone the end. */
     void startDraining(GracePeriod period) {
         if (grace == null) {
             grace = period;
@@ -208,27 +212,27 @@
     }
 
     /**
-     * Returns whether a request that begins now ends before this process does. One that doesn't would be cut, and its caller
-     * couldn't tell whether it has run; refused, it goes elsewhere.
+     * Returns whether a request that begins now is expected to end before this process does. Otherwise it would be cut, and
+     * its caller could not know whether it has run; if it is refused, the caller can retry elsewhere.
      */
     boolean endsInTime(Exchange exchange, RouteRule route) {
         GracePeriod period = grace;
         if (period == null) {
             return true;
         }
-        long limit = new ForwardedRequest(exchange, protocol, route).remainingMillis();
-        long usual = answerTime(route).boundMillis(exchange.facts().estimate(), period.requiredDeviations(now()));
-        long bound = Math.min(limit, usual);
-        if (period.accept(now(), bound)) {
+        long remainingMillis = new ForwardedRequest(exchange, protocol, route).remainingMillis();
+        long usualMillis = answerTime(route).boundMillis(exchange.facts().estimate(), period.requiredDeviations(now()));
+        long boundMillis = Math.min(remainingMillis, usualMillis);
+        if (period.accept(now(), boundMillis)) {
             return true;
         }
         logger.atInfo().log(
                 "event=refused-leaving request=%s bound_ms=%d left_ms=%d age_ms=%d",
-                exchange.facts().id(), bound, period.remainingMillis(now()), exchange.ageMillis());
+                exchange.facts().id(), boundMillis, period.remainingMillis(now()), exchange.ageMillis());
         return false;
     }
 
-    /** Returns what is known of the time that a route's answers take. */
+    /** Returns the statistics of the answer times of a route. */
     AnswerTimeModel answerTime(RouteRule route) {
         return answerTimes.computeIfAbsent(route.name(), name -> new AnswerTimeModel());
     }
@@ -238,41 +242,41 @@
     }
 
     private BookingManager newBookingManager(String service) {
-        BookingManager desk = new BookingManager(this, service);
+        BookingManager manager = new BookingManager(this, service);
         EntryCount counted = entries;
         if (counted != null) {
-            desk.entries(counted);
+            manager.entries(counted);
         }
-        return desk;
+        return manager;
     }
 
-    /** Refuses a request because this entry stops before it would end. */
+    /** Refuses a request because this entry stops before the request would end. */
     void refuseDraining(Exchange exchange) {
-        GracePeriod period = Objects.requireNonNull(grace, "not leaving");
+        GracePeriod period = Objects.requireNonNull(grace, "the entry is not draining");
         answerRefused(exchange, STOPS_SOONER, period.retryAfterMillis(now(), random()));
     }
 
-    /** Refuses a request that has not run and won't, and says when to come back. */
-    void refuse(Exchange exchange, String why, long comeBackMillis) {
+    /** Refuses a request that has not run and will not run, with the time after which to retry. */
+    void refuse(Exchange exchange, String why, long retryAfterMillis) {
         GracePeriod period = grace;
         answerRefused(
                 exchange,
                 why,
-                period == null ? comeBackMillis : period.retryAfterMillis(now(), random(), comeBackMillis));
+                period == null ? retryAfterMillis : period.retryAfterMillis(now(), random(), retryAfterMillis));
     }
 
     private static double random() {
         return ThreadLocalRandom.current().nextDouble();
     }
 
-    private void answerRefused(Exchange exchange, String why, long comeBack) {
+    private void answerRefused(Exchange exchange, String why, long retryAfterMillis) {
         metrics.requestRefused(why);
         HttpHeaders headers = new DefaultHttpHeaders();
-        protocol.setRetryAfter(headers, comeBack);
+        protocol.setRetryAfter(headers, retryAfterMillis);
         exchange.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, why, headers);
     }
 
-    /** Tells of a failure that says nothing of whether the request has run. */
+    /** Answers with a failure that does not state whether the request has run. */
     void fail(Exchange exchange, HttpResponseStatus status, String why) {
         exchange.answer(status, why, new DefaultHttpHeaders());
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunLog.java
@@ -8,7 +8,7 @@
 import org.quetzalseam.gateway.http.CallFailure;
 import org.quetzalseam.gateway.operator.GatewayMetrics;
 
-/** The log lines of one request, each with its id. */
+/** Writes the log lines of one request, each with its id, and updates the metrics that go with them. */
 final class RunLog {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -35,22 +35,22 @@
         step("booked", engine, "tokens=" + tokens);
     }
 
-    void notBooked(BookingRequest wanted, int engines, long spentBefore, String why) {
+    void notBooked(BookingRequest request, int engines, long earlierAttemptsMillis, String why) {
         logger.atInfo().log(
                 "event=booking-refused request=%s service=%s why=\"%s\" tokens=%d room=%d engines=%d asked=%d"
                         + " spent_before_ms=%d age_ms=%d",
                 exchange.facts().id(),
                 service,
                 why,
-                wanted.tokens(),
-                wanted.room(),
+                request.tokens(),
+                request.room(),
                 engines,
-                wanted.inquiries(),
-                spentBefore,
+                request.inquiries(),
+                earlierAttemptsMillis,
                 exchange.ageMillis());
     }
 
-    void streamed(StreamPace pace, long spentBefore) {
+    void streamed(StreamPace pace, long earlierAttemptsMillis) {
         metrics.longestPause(route.name(), pace.longestPauseMillis());
         logger.atInfo().log(
                 "event=stream-ended request=%s events=%d first_event_ms=%d longest_pause_ms=%d spent_before_ms=%d age_ms=%d",
@@ -58,11 +58,11 @@
                 pace.pieces(),
                 pace.firstMillis(),
                 pace.longestPauseMillis(),
-                spentBefore,
+                earlierAttemptsMillis,
                 exchange.ageMillis());
     }
 
-    /** Tells why a request that may have run isn't sent again. */
+    /** Logs why a request that may have run is not sent again. */
     void attemptsEnded(String why, RetryDecision denied, String budget) {
         logger.atInfo().log(
                 "event=tries-end request=%s why=\"%s\" denied=%s age_ms=%d %s",
@@ -76,24 +76,24 @@
                 exchange.facts().id(), tokens, exchange.ageMillis());
     }
 
-    void ended(String outcome, int status, int tries) {
+    void ended(String outcome, int status, int attempts) {
         metrics.requestEnded(route.name(), outcome, exchange.ageMillis());
         logger.atInfo().log(
                 "event=request-ended request=%s route=%s service=%s version=%d outcome=%s status=%d tries=%d age_ms=%d",
-                exchange.facts().id(), route.name(), service, version, outcome, status, tries, exchange.ageMillis());
+                exchange.facts().id(), route.name(), service, version, outcome, status, attempts, exchange.ageMillis());
     }
 
-    /** Notes that a prompt isn't begun yet, and why. */
+    /** Logs that a prompt is queued, and why. */
     void prefillQueued(Endpoint engine, PrefillPlanner.Verdict verdict, String inputs) {
         step("prompt-waits", engine, "verdict=" + verdict + " " + inputs);
     }
 
-    /** Notes that a prompt isn't begun, and why. */
+    /** Logs that a prompt is refused without having begun, and why. */
     void prefillNotBegun(Endpoint engine, PrefillPlanner.Verdict verdict, String inputs) {
         step("prompt-not-begun", engine, "verdict=" + verdict + " " + inputs);
     }
 
-    /** Notes that an endpoint has turned the request away, which says that it has not run. */
+    /** Logs that an endpoint has refused the request, which means that it has not run there. */
     void rejected(Endpoint endpoint, int status, String budget) {
         metrics.failedAttempt(service, "REJECTED");
         step("rejected", endpoint, "status=" + status + " " + budget);
