--- a/core/src/test/java/org/quetzalseam/core/fleet/RejectionBackoffTest.java
+++ b/core/src/test/java/org/quetzalseam/core/fleet/RejectionBackoffTest.java
@@ -5,36 +5,38 @@
 import org.junit.jupiter.api.Test;
 
 class RejectionBackoffTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final RejectionBackoff engine = new RejectionBackoff(0);
 
     /**
-     * Sixteen prompts a second for an engine that turns all away for twelve seconds, as one that changes stage: without the
-     * record it gets all 192, as it always looks like the emptiest.
+     * Sends 16 prompts per second to an engine that rejects all of them for 12 seconds, as during a change of stage.
+     * Without the backoff it would get all 192, because it always looks like the least loaded engine.
      */
     @Test
     void anEngineThatRejectsAllWorkForTwelveSecondsGetsThreePrompts() {
         int sent = 0;
-        for (long now = 0; now < 12 * SECOND; now += SECOND / 16) {
+        for (long now = 0; now < 12 * SECOND_NANOS; now += SECOND_NANOS / 16) {
             if (!engine.isExcluded(now)) {
                 sent++;
                 engine.recordRejection(now);
             }
         }
         assertThat(sent).isEqualTo(3);
-        assertThat(engine.isExcluded(15 * SECOND)).as("tried again soon after").isFalse();
+        assertThat(engine.isExcluded(15 * SECOND_NANOS))
+                .as("used again soon after")
+                .isFalse();
     }
 
     @Test
     void anEngineThatAcceptsWorkAgainIsUsedAtOnceAndItsBackoffIsReset() {
         engine.recordRejection(0);
-        engine.recordRejection(3 * SECOND);
+        engine.recordRejection(3 * SECOND_NANOS);
         engine.recordAcceptance();
-        assertThat(engine.isExcluded(3 * SECOND)).isFalse();
-        engine.recordRejection(4 * SECOND);
-        assertThat(engine.isExcluded(5 * SECOND)).isTrue();
-        assertThat(engine.isExcluded(6 * SECOND)).isFalse();
+        assertThat(engine.isExcluded(3 * SECOND_NANOS)).isFalse();
+        engine.recordRejection(4 * SECOND_NANOS);
+        assertThat(engine.isExcluded(5 * SECOND_NANOS)).isTrue();
+        assertThat(engine.isExcluded(6 * SECOND_NANOS)).isFalse();
     }
 
     @Test
@@ -42,18 +44,18 @@
         for (int i = 0; i < 10; i++) {
             engine.recordRejection(i);
         }
-        assertThat(engine.isExcluded(2 * SECOND + 1)).isFalse();
+        assertThat(engine.isExcluded(2 * SECOND_NANOS + 1)).isFalse();
     }
 
     @Test
     void oneRejectionIsToleratedWhereAnotherEngineMayBeTheCause() {
-        RejectionBackoff reader = new RejectionBackoff(1);
-        reader.recordRejection(0);
-        assertThat(reader.isExcluded(1)).isFalse();
-        reader.recordAcceptance();
-        reader.recordRejection(2);
-        assertThat(reader.isExcluded(3)).isFalse();
-        reader.recordRejection(4);
-        assertThat(reader.isExcluded(5)).isTrue();
+        RejectionBackoff prefillEngine = new RejectionBackoff(1);
+        prefillEngine.recordRejection(0);
+        assertThat(prefillEngine.isExcluded(1)).isFalse();
+        prefillEngine.recordAcceptance();
+        prefillEngine.recordRejection(2);
+        assertThat(prefillEngine.isExcluded(3)).isFalse();
+        prefillEngine.recordRejection(4);
+        assertThat(prefillEngine.isExcluded(5)).isTrue();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/generation/InPlacePrefillTest.java
+++ b/core/src/test/java/org/quetzalseam/core/generation/InPlacePrefillTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Prefill engines answer for a prompt of 5,000 tokens in 175 ms; a decode engine takes about as long, in which its streams stand
- * nearly still. Callers are promised pauses of 300 ms at most.
+ * Prefill engines answer for a prompt of 5,000 tokens in 175 ms; a decode engine takes about as long, and its streams
+ * nearly stop meanwhile. Callers are promised pauses of 300 ms at most.
  */
 class InPlacePrefillTest {
-    private static final double PACE = 0.035;
-    private static final double PAUSE = 300;
+    private static final double MILLIS_PER_TOKEN = 0.035;
+    private static final double MAX_PAUSE_MILLIS = 300;
     private static final int TOKENS = 5_000;
     private static final List<String> DECODERS = List.of("a", "b", "c", "d");
 
@@ -30,7 +30,7 @@
     }
 
     private Optional<String> selectEngine(InPlacePrefill<String> entry, int tokens) {
-        return entry.selectEngine(DECODERS, Function.identity(), tokens, PACE, PAUSE, now);
+        return entry.selectEngine(DECODERS, Function.identity(), tokens, MILLIS_PER_TOKEN, MAX_PAUSE_MILLIS, now);
     }
 
     @Test
@@ -44,7 +44,7 @@
         for (int rank = 0; rank < 5; rank++) {
             InPlacePrefill<String> entry = new InPlacePrefill<>();
             entry.updateEntries(5, rank);
-            selectEngine(entry, TOKENS).ifPresent(taken -> owners.merge(taken, 1, Integer::sum));
+            selectEngine(entry, TOKENS).ifPresent(selected -> owners.merge(selected, 1, Integer::sum));
         }
         assertThat(owners)
                 .containsOnlyKeys(DECODERS)
@@ -55,9 +55,9 @@
     void anEntryWithSeveralEnginesUsesThoseThatAreFree() {
         inPlace.updateEntries(2, 1);
         assertThat(selectEngine(TOKENS)).contains("b");
-        inPlace.begin("b", TOKENS, PACE, now);
+        inPlace.begin("b", TOKENS, MILLIS_PER_TOKEN, now);
         assertThat(selectEngine(TOKENS)).contains("d");
-        inPlace.begin("d", TOKENS, PACE, now);
+        inPlace.begin("d", TOKENS, MILLIS_PER_TOKEN, now);
         assertThat(selectEngine(TOKENS)).isEmpty();
         now += TimeUnit.MILLISECONDS.toNanos(360);
         assertThat(selectEngine(TOKENS)).contains("b");
@@ -73,13 +73,13 @@
     @Test
     void nothingIsPrefilledInPlaceWhereThePaceOrTheObjectiveIsUnknown() {
         inPlace.updateEntries(1, 0);
-        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, 0, PAUSE, now))
+        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, 0, MAX_PAUSE_MILLIS, now))
                 .isEmpty();
-        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, PACE, 0, now))
+        assertThat(inPlace.selectEngine(DECODERS, Function.identity(), TOKENS, MILLIS_PER_TOKEN, 0, now))
                 .isEmpty();
     }
 
-    /** Five entries under a burst, seeded: whatever they ask for, no two readings at one engine overlap, and each leaves a gap. */
+    /** Five entries under a seeded burst: no two prefills at one engine overlap, and each leaves a gap after it. */
     @Test
     void prefillsOfAllEntriesAtOneEngineNeverOverlap() {
         Random random = new Random(4);
@@ -90,20 +90,20 @@
             entry.updateEntries(5, rank);
             entries.add(entry);
         }
-        int read = 0;
+        int prefills = 0;
         for (int i = 0; i < 2_000; i++) {
             now += TimeUnit.MILLISECONDS.toNanos(random.nextInt(40));
             int tokens = 500 + random.nextInt(6_500);
             InPlacePrefill<String> entry = entries.get(random.nextInt(5));
             Optional<String> engine = selectEngine(entry, tokens);
             if (engine.isPresent()) {
-                long millis = Math.round(tokens * PACE);
+                long millis = Math.round(tokens * MILLIS_PER_TOKEN);
                 assertThat(freeAt.getOrDefault(engine.get(), now)).isLessThanOrEqualTo(now);
                 freeAt.put(engine.get(), now + TimeUnit.MILLISECONDS.toNanos(millis + 10));
-                entry.begin(engine.get(), tokens, PACE, now);
-                read++;
+                entry.begin(engine.get(), tokens, MILLIS_PER_TOKEN, now);
+                prefills++;
             }
         }
-        assertThat(read).isGreaterThan(200);
+        assertThat(prefills).isGreaterThan(200);
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationAdmission.java
@@ -8,22 +8,23 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 
 /**
- * One generation's wait for its prompt's turn and then for decode memory: how long it is worth waiting, and what comes of it. Used on
- * the event loop only.
+ * Admits one generation: waits until its prompt may be prefilled, then until decode memory is booked, each only as long as
+ * the wait is of use. Used on the event loop only.
  */
 final class GenerationAdmission {
     /**
-     * How long a caller who is late already may wait for memory, in milliseconds: long enough for a place that is just getting
-     * free, and too short for the late to take many places from those who could be in time at other entries.
+     * How long a generation that already misses its objective may wait for memory, in milliseconds: long enough for memory
+     * that is just being freed, and too short for late generations to take much memory from those at other entries that
+     * could be in time.
      */
     private static final long LATE_WAIT_MILLIS = 1_000;
 
-    /** What becomes of the wait. */
+    /** Receives the result of the admission. */
     interface Listener {
-        /** Memory is booked. */
+        /** Called when memory is booked. */
         void booked(BookedMemory memory);
 
-        /** The prompt can't be read or nothing be booked in time, or there is no engine to book at. */
+        /** Called when the prompt cannot be prefilled or no memory be booked in time, or when there is no engine to book at. */
         void refused(String why);
     }
 
@@ -40,32 +41,34 @@
     GenerationAdmission(
             RunContext context,
             String service,
-            FirstEventDeadline due,
-            long spentBefore,
+            FirstEventDeadline deadline,
+            long earlierAttemptsMillis,
             RunLog log,
-            Listener outcome) {
+            Listener listener) {
         this.context = context;
         this.service = service;
-        this.deadline = due;
-        this.earlierAttemptsMillis = spentBefore;
+        this.deadline = deadline;
+        this.earlierAttemptsMillis = earlierAttemptsMillis;
         this.log = log;
-        this.listener = outcome;
+        this.listener = listener;
         this.bookings = context.bookings(service);
     }
 
     void start(TokenDemand demand) {
-        PrefillRequest wanted = new PrefillRequest(demand.prompt(), deadline, log, new PrefillRequest.Listener() {
+        PrefillRequest newRequest = new PrefillRequest(demand.prompt(), deadline, log, new PrefillRequest.Listener() {
             @Override
-            public void beginPrefill(Optional<Endpoint> reader) {
+            public void beginPrefill(Optional<Endpoint> prefillEngine) {
                 prefillRequest = null;
-                double first = reader.map(engine -> bookings.prefillEngines().firstEventMillis(engine, demand.prompt()))
+                double firstEventMillis = prefillEngine
+                        .map(engine -> bookings.prefillEngines().firstEventMillis(engine, demand.prompt()))
                         .orElse(0.0);
-                requestBooking(demand, Math.round(deadline.remaining().untilObjectiveMillis() - first), null);
+                requestBooking(
+                        demand, Math.round(deadline.remaining().untilObjectiveMillis() - firstEventMillis), null);
             }
 
             @Override
-            public void beginInPlace(Endpoint decoder) {
-                requestBooking(demand, Math.round(deadline.remaining().untilObjectiveMillis()), decoder);
+            public void beginInPlace(Endpoint decodeEngine) {
+                requestBooking(demand, Math.round(deadline.remaining().untilObjectiveMillis()), decodeEngine);
             }
 
             @Override
@@ -74,28 +77,28 @@
                 listener.refused(PrefillRun.NOT_BEGUN_REASON);
             }
         });
-        prefillRequest = wanted;
-        bookings.prefillScheduler().submit(wanted);
+        prefillRequest = newRequest;
+        bookings.prefillScheduler().submit(newRequest);
     }
 
-    private void requestBooking(TokenDemand demand, long inTime, @Nullable Endpoint only) {
+    private void requestBooking(TokenDemand demand, long inTimeMillis, @Nullable Endpoint requiredEngine) {
         int tokens = bookings.booking().bookedTokens(demand);
         long now = context.now();
-        long left = Math.round(deadline.remaining().untilAbandonedMillis());
-        long wait = Math.min(inTime > 0 ? inTime : LATE_WAIT_MILLIS, left);
-        BookingRequest wanted = new BookingRequest(
+        long remainingMillis = Math.round(deadline.remaining().untilAbandonedMillis());
+        long waitMillis = Math.min(inTimeMillis > 0 ? inTimeMillis : LATE_WAIT_MILLIS, remainingMillis);
+        BookingRequest newRequest = new BookingRequest(
                 tokens,
                 bookings.booking().headroomTokens(demand),
                 bookings.booking().expectedCost(demand),
-                now + TimeUnit.MILLISECONDS.toNanos(inTime),
-                now + TimeUnit.MILLISECONDS.toNanos(wait),
-                only,
+                now + TimeUnit.MILLISECONDS.toNanos(inTimeMillis),
+                now + TimeUnit.MILLISECONDS.toNanos(waitMillis),
+                requiredEngine,
                 new BookingRequest.Listener() {
                     @Override
                     public void granted(Endpoint engine, String id) {
                         bookingRequest = null;
                         prefillRequest = null;
-                        listener.booked(new BookedMemory(engine, id, tokens, only != null));
+                        listener.booked(new BookedMemory(engine, id, tokens, requiredEngine != null));
                     }
 
                     @Override
@@ -103,36 +106,36 @@
                         bookingRefused(why);
                     }
                 });
-        bookingRequest = wanted;
-        bookings.submit(wanted);
+        bookingRequest = newRequest;
+        bookings.submit(newRequest);
     }
 
-    /** Where the one engine that was to read the prompt itself has no room, the prompt takes its turn among the others. */
+    /** If the booking was for a decode engine that was to prefill the prompt itself, queues the prompt for a prefill engine. */
     private void bookingRefused(String why) {
-        BookingRequest wanted = bookingRequest;
+        BookingRequest refusedRequest = bookingRequest;
         bookingRequest = null;
-        if (wanted != null) {
+        if (refusedRequest != null) {
             int engines = context.directory().usable(service, Stage.DECODE).size();
-            log.notBooked(wanted, engines, earlierAttemptsMillis, why);
+            log.notBooked(refusedRequest, engines, earlierAttemptsMillis, why);
         }
-        PrefillRequest inPlace = prefillRequest;
-        if (inPlace != null) {
-            bookings.prefillScheduler().submit(inPlace);
+        PrefillRequest triedInPlace = prefillRequest;
+        if (triedInPlace != null) {
+            bookings.prefillScheduler().submit(triedInPlace);
         } else {
             listener.refused(why);
         }
     }
 
-    /** Gives the wait up. Harmless when it is over. */
+    /** Cancels the admission. Does nothing after its end. */
     void cancel() {
-        PrefillRequest waiting = prefillRequest;
-        if (waiting != null) {
-            bookings.prefillScheduler().remove(waiting);
+        PrefillRequest queuedPrefill = prefillRequest;
+        if (queuedPrefill != null) {
+            bookings.prefillScheduler().remove(queuedPrefill);
             prefillRequest = null;
         }
-        BookingRequest wanted = bookingRequest;
-        if (wanted != null) {
-            bookings.remove(wanted);
+        BookingRequest queuedBooking = bookingRequest;
+        if (queuedBooking != null) {
+            bookings.remove(queuedBooking);
             bookingRequest = null;
         }
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/GenerationRun.java
@@ -15,11 +15,11 @@
 import org.quetzalseam.gateway.runtime.ScheduledCall;
 
 /**
- * One streamed generation: decode memory is booked, the prompt is read at a prefill engine, the KV cache goes to the decode
- * engine, and its events are passed on as they come. Used on the event loop only.
+ * Runs one streamed generation: books decode memory, has the prompt prefilled at a prefill engine and its KV cache fetched
+ * by the decode engine, and forwards the events as they arrive. Used on the event loop only.
  */
 final class GenerationRun {
-    /** Latency objectives after which an engine without a first event is taken to be silent. */
+    /** Multiple of the latency objective after which an engine that has sent no first event counts as unresponsive. */
     private static final int UNRESPONSIVE_OBJECTIVES = 2;
 
     private final RunContext context;
@@ -54,7 +54,7 @@
         this.relay = new StreamRelay(exchange, log);
         this.attempts = new GenerationAttempts(context, route, service);
         this.forwarded = new ForwardedRequest(exchange, context.protocol(), route);
-        this.earlierAttemptsMillis = context.callerWaits(route.name())
+        this.earlierAttemptsMillis = context.earlierWaits(route.name())
                 .estimateMillis(exchange.facts().callerTimeoutMillis());
         this.deadline = new FirstEventDeadline(exchange, route, forwarded, earlierAttemptsMillis);
     }
@@ -78,7 +78,7 @@
     }
 
     private void bookMemory(TokenDemand demand) {
-        GenerationAdmission wait = new GenerationAdmission(
+        GenerationAdmission newAdmission = new GenerationAdmission(
                 context, service, deadline, earlierAttemptsMillis, log, new GenerationAdmission.Listener() {
                     @Override
                     public void booked(BookedMemory memory) {
@@ -91,8 +91,8 @@
                         giveUp(why);
                     }
                 });
-        admission = wait;
-        wait.start(demand);
+        admission = newAdmission;
+        newAdmission.start(demand);
     }
 
     private void decodeUnbooked() {
@@ -105,7 +105,7 @@
         held.booked(booked);
         log.booked(booked.engine(), booked.tokens());
         if (!mayHaveRun && !context.endsInTime(exchange, route)) {
-            // Nothing has run so far: the last moment at which a refusal is true.
+            // Nothing has run so far. This is the last moment at which a refusal can truthfully state that.
             finish("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
             context.refuseDraining(exchange);
             return;
@@ -122,11 +122,11 @@
     private void prefillPrompt(BookedMemory booked) {
         TokenDemand demand = exchange.facts().demand();
         int promptTokens = demand == null ? 0 : demand.prompt();
-        PrefillRun prompt = new PrefillRun(
+        PrefillRun newPrefill = new PrefillRun(
                 context, exchange, forwarded, deadline, service, promptTokens, log, new PrefillRun.Listener() {
                     @Override
-                    public void prefilled(Endpoint reader, String handle) {
-                        held.prefilled(new KvCache(reader, handle));
+                    public void prefilled(Endpoint prefillEngine, String handle) {
+                        held.prefilled(new KvCache(prefillEngine, handle));
                         statistics.recordPrefilled();
                         decodeBooked(booked);
                     }
@@ -149,8 +149,8 @@
                         giveUp(why);
                     }
                 });
-        prefill = prompt;
-        prompt.start(booked.engine());
+        prefill = newPrefill;
+        newPrefill.start(booked.engine());
     }
 
     private void decodeBooked(BookedMemory booked) {
@@ -163,10 +163,10 @@
     }
 
     private void decode(
-            Endpoint engine, @Nullable Endpoint reader, @Nullable String kvSource, @Nullable String booking) {
+            Endpoint engine, @Nullable Endpoint prefillEngine, @Nullable String kvSource, @Nullable String booking) {
         Forwarding forwarding = new Forwarding(
                 engine.member().id(), forwarded.remainingMillis(), false, kvSource, booking, relay.resumePoint());
-        DecodeReply reply = new DecodeReply(context.protocol(), new DecodeListener(engine, reader));
+        DecodeReply reply = new DecodeReply(context.protocol(), new DecodeListener(engine, prefillEngine));
         decodeCall = engine.send(
                 forwarded.head(forwarding), exchange.body(), exchange.facts().id(), reply);
     }
@@ -175,9 +175,9 @@
         private final Endpoint engine;
         private final @Nullable Endpoint prefillEngine;
 
-        DecodeListener(Endpoint engine, @Nullable Endpoint reader) {
+        DecodeListener(Endpoint engine, @Nullable Endpoint prefillEngine) {
             this.engine = engine;
-            this.prefillEngine = reader;
+            this.prefillEngine = prefillEngine;
         }
 
         @Override
@@ -226,12 +226,15 @@
         }
     }
 
-    /** Either the engine takes nothing just now, or it couldn't have the KV cache from its reader. */
-    private void recordRefusal(Endpoint engine, @Nullable Endpoint reader) {
+    /**
+     * Records a refusal at both engines: either the decode engine accepts nothing now, or it could not fetch the KV cache
+     * from the prefill engine.
+     */
+    private void recordRefusal(Endpoint engine, @Nullable Endpoint prefillEngine) {
         long now = context.now();
         engine.workRejections().recordRejection(now);
-        if (reader != null) {
-            reader.cacheRejections().recordRejection(now);
+        if (prefillEngine != null) {
+            prefillEngine.cacheRejections().recordRejection(now);
         }
     }
 
@@ -268,7 +271,7 @@
         resumeElsewhere(engine, failure.kind().toString());
     }
 
-    /** The engine has not run it: it may be booked, read and sent again. */
+    /** Starts another attempt after an engine that has not run the request: it may be booked, prefilled and sent again. */
     private void retryNotRun(String why) {
         if (attempts.acquireRetry()) {
             statistics.recordWastedPrefill();
@@ -278,11 +281,11 @@
         }
     }
 
-    /** The engine may have run it: it may go on only where its route says so. */
+    /** Resumes the stream after an engine that may have run the request, if its route allows that. */
     private void resumeElsewhere(Endpoint engine, String why) {
         relay.events().discardIncompleteEvent();
-        RetryDecision next = attempts.acquireResume();
-        if (next == RetryDecision.ALLOWED) {
+        RetryDecision decision = attempts.acquireResume();
+        if (decision == RetryDecision.ALLOWED) {
             log.step(
                     "resume",
                     engine,
@@ -290,7 +293,7 @@
             statistics.recordWastedPrefill();
             startAttempt();
         } else {
-            endWithUnknownOutcome(why, next);
+            endWithUnknownOutcome(why, decision);
         }
     }
 
@@ -304,7 +307,10 @@
         }
     }
 
-    /** No engine takes it now: a refusal if it has run nowhere. */
+    /**
+     * Ends the request because no engine accepts it now: with a refusal if it has run nowhere, else with an unknown
+     * outcome.
+     */
     private void giveUp(String why) {
         if (finished) {
             return;
@@ -324,7 +330,7 @@
         }
     }
 
-    /** An engine that has let its caller wait for twice the objective without a first event counts as failing. */
+    /** Records a failure of the engine if the caller has waited for more than twice the objective without a first event. */
     private void recordMissingFirstEvent(@Nullable EndpointCall running) {
         BookedMemory booked = held.memory();
         boolean overdue = exchange.ageMillis() > UNRESPONSIVE_OBJECTIVES * route.targetLatencyMillis();
@@ -368,16 +374,16 @@
         finish("caller-gone", 0);
     }
 
-    /** Ends what runs, waits or is held for this request anywhere. */
+    /** Cancels and releases all that is running, queued or held for this request. */
     private void cancelWork() {
-        GenerationAdmission wait = admission;
-        if (wait != null) {
-            wait.cancel();
+        GenerationAdmission currentAdmission = admission;
+        if (currentAdmission != null) {
+            currentAdmission.cancel();
             admission = null;
         }
-        PrefillRun prompt = prefill;
-        if (prompt != null) {
-            prompt.cancel();
+        PrefillRun currentPrefill = prefill;
+        if (currentPrefill != null) {
+            currentPrefill.cancel();
             prefill = null;
         }
         EndpointCall running = decodeCall;
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/PrefillScheduler.java
@@ -10,13 +10,13 @@
 import org.quetzalseam.gateway.entry.EntryCount;
 
 /**
- * Decides for this entry's generations when and where their prompts are read: by a prefill engine while those keep up, else by a
- * decode engine between the tokens of its streams, else later. Used on the event loop only.
+ * Decides when and where the prompts of this entry's generations are prefilled: by a prefill engine while these keep up,
+ * else by a decode engine between the tokens of its streams, else later. Used on the event loop only.
  */
 final class PrefillScheduler {
-    /** How often those who wait are looked at, in milliseconds: a part of the time that reading a prompt takes. */
+    /** Interval between two checks of the queue, in milliseconds: a fraction of the time that a prefill takes. */
     private static final long CHECK_INTERVAL_MILLIS = 20;
-    /** How often engines that are gone are forgotten, in milliseconds. */
+    /** Interval at which removed engines are forgotten, in milliseconds. */
     private static final long FORGET_INTERVAL_MILLIS = 10_000;
 
     private final RunContext context;
@@ -26,10 +26,10 @@
     private final PrefillQueue<PrefillRequest> queue = new PrefillQueue<>();
     private boolean checkScheduled;
 
-    PrefillScheduler(RunContext context, String service, PrefillEngines readers) {
+    PrefillScheduler(RunContext context, String service, PrefillEngines engines) {
         this.context = context;
         this.service = service;
-        this.engines = readers;
+        this.engines = engines;
         context.timers()
                 .every(
                         FORGET_INTERVAL_MILLIS,
@@ -37,107 +37,114 @@
                                 engine -> !context.directory().usable(engine)));
     }
 
-    /** Sets among how many entries the engines are divided, and this one's place among them. */
+    /** Sets the number of entries among which the engines are divided, and this entry's rank. */
     void entries(EntryCount counted) {
         inPlace.updateEntries(counted.entries(), counted.rank());
     }
 
-    /** Lets a prompt begin when it is its turn; its outcome may follow before this call returns. */
-    void submit(PrefillRequest turn) {
-        PrefillPlanner.Deadline due = turn.remaining();
-        if (queue.mustQueue(due, context.now()) || !decide(turn, due)) {
-            turn.queueEntry(queue.add(turn, due, context.now()));
-            best(turn)
-                    .ifPresent(engine ->
-                            turn.logQueued(engine, judge(turn, engine, due), describeInputs(turn, engine, due)));
+    /** Begins, refuses or queues a prompt; its listener may be called before this method returns. */
+    void submit(PrefillRequest request) {
+        PrefillPlanner.Deadline remaining = request.remaining();
+        if (queue.mustQueue(remaining, context.now()) || !decide(request, remaining)) {
+            request.queuePosition(queue.add(request, remaining, context.now()));
+            best(request)
+                    .ifPresent(engine -> request.logQueued(
+                            engine, judge(request, engine, remaining), describeInputs(request, engine, remaining)));
             scheduleCheck();
         }
     }
 
-    /** Takes a prompt out that isn't to be read any more. Harmless when it doesn't wait. */
-    void remove(PrefillRequest turn) {
-        PrefillQueue<PrefillRequest>.Position place = turn.queueEntry();
-        if (place != null) {
-            queue.remove(place);
+    /** Removes a prompt that no longer needs prefill from the queue. Does nothing if it is not queued. */
+    void remove(PrefillRequest request) {
+        PrefillQueue<PrefillRequest>.Position position = request.queuePosition();
+        if (position != null) {
+            queue.remove(position);
         }
     }
 
-    /** Begins or refuses a prompt, if either is due. */
-    private boolean decide(PrefillRequest turn, PrefillPlanner.Deadline due) {
-        Optional<Endpoint> best = best(turn);
+    /** Begins or refuses a prompt if possible now. Returns whether it did. */
+    private boolean decide(PrefillRequest request, PrefillPlanner.Deadline remaining) {
+        Optional<Endpoint> best = best(request);
         if (best.isEmpty()) {
-            remove(turn);
-            turn.beginPrefill(best);
+            remove(request);
+            request.beginPrefill(best);
             return true;
         }
-        Endpoint reader = best.get();
-        return tryDecodeEngine(turn, reader, due) || tryPrefillEngine(turn, reader, due);
+        Endpoint prefillEngine = best.get();
+        return tryDecodeEngine(request, prefillEngine, remaining)
+                || tryPrefillEngine(request, prefillEngine, remaining);
     }
 
     /**
-     * A prompt that a prefill engine would read too late goes to a decode engine that is in time with it; once, as one without room
-     * has none for it soon. Those who are late anyway don't hold up others' streams.
+     * Sends a prompt that a prefill engine would finish too late to a decode engine that finishes it in time. Tries this
+     * once per prompt, because a decode engine without room will not have room for it soon. Prompts that are late in any
+     * case do not delay the streams of others.
      */
-    private boolean tryDecodeEngine(PrefillRequest turn, Endpoint reader, PrefillPlanner.Deadline due) {
-        boolean inTimeHere = due.untilObjectiveMillis() > turn.promptTokens() * engines.millisPerToken();
-        if (turn.triedInPlace() || !inTimeHere || !engines.missesObjective(reader, turn.promptTokens(), due)) {
+    private boolean tryDecodeEngine(PrefillRequest request, Endpoint prefillEngine, PrefillPlanner.Deadline remaining) {
+        boolean inTimeInPlace = remaining.untilObjectiveMillis() > request.promptTokens() * engines.millisPerToken();
+        if (request.triedInPlace()
+                || !inTimeInPlace
+                || !engines.missesObjective(prefillEngine, request.promptTokens(), remaining)) {
             return false;
         }
-        Optional<Endpoint> decoder = decoder(turn);
-        decoder.ifPresent(engine -> {
-            remove(turn);
-            turn.beginInPlace(engine);
+        Optional<Endpoint> decodeEngine = findDecodeEngine(request);
+        decodeEngine.ifPresent(engine -> {
+            remove(request);
+            request.beginInPlace(engine);
         });
-        return decoder.isPresent();
+        return decodeEngine.isPresent();
     }
 
-    private boolean tryPrefillEngine(PrefillRequest turn, Endpoint reader, PrefillPlanner.Deadline due) {
-        PrefillPlanner.Verdict verdict = judge(turn, reader, due);
+    private boolean tryPrefillEngine(
+            PrefillRequest request, Endpoint prefillEngine, PrefillPlanner.Deadline remaining) {
+        PrefillPlanner.Verdict verdict = judge(request, prefillEngine, remaining);
         if (verdict == PrefillPlanner.Verdict.BEGIN) {
-            remove(turn);
-            turn.beginPrefill(Optional.of(reader));
+            remove(request);
+            request.beginPrefill(Optional.of(prefillEngine));
             return true;
         }
-        PrefillQueue<PrefillRequest>.Position place = turn.queueEntry();
-        boolean waitedLong = place != null && place.hasExpired(context.now());
+        PrefillQueue<PrefillRequest>.Position position = request.queuePosition();
+        boolean waitedLong = position != null && position.hasExpired(context.now());
         if (waitedLong || verdict == PrefillPlanner.Verdict.CALLER_LEAVES_SOONER) {
-            remove(turn);
-            turn.refuse(reader, verdict, describeInputs(turn, reader, due));
+            remove(request);
+            request.refuse(prefillEngine, verdict, describeInputs(request, prefillEngine, remaining));
             return true;
         }
         return false;
     }
 
-    private Optional<Endpoint> best(PrefillRequest turn) {
-        return engines.best(turn.promptTokens(), List.of(), context.settings().zone());
+    private Optional<Endpoint> best(PrefillRequest request) {
+        return engines.best(
+                request.promptTokens(), List.of(), context.settings().zone());
     }
 
-    private PrefillPlanner.Verdict judge(PrefillRequest turn, Endpoint reader, PrefillPlanner.Deadline due) {
-        return engines.judge(reader, turn.promptTokens(), due);
+    private PrefillPlanner.Verdict judge(
+            PrefillRequest request, Endpoint prefillEngine, PrefillPlanner.Deadline remaining) {
+        return engines.judge(prefillEngine, request.promptTokens(), remaining);
     }
 
-    private String describeInputs(PrefillRequest turn, Endpoint reader, PrefillPlanner.Deadline due) {
-        PrefillQueue<PrefillRequest>.Position place = turn.queueEntry();
-        long waited = place == null ? 0 : place.waitedMillis(context.now());
-        return engines.describeInputs(reader, turn.promptTokens(), due) + " waited_ms=" + waited + " waiting="
-                + queue.size();
+    private String describeInputs(PrefillRequest request, Endpoint prefillEngine, PrefillPlanner.Deadline remaining) {
+        PrefillQueue<PrefillRequest>.Position position = request.queuePosition();
+        long waitedMillis = position == null ? 0 : position.waitedMillis(context.now());
+        return engines.describeInputs(prefillEngine, request.promptTokens(), remaining) + " waited_ms=" + waitedMillis
+                + " waiting=" + queue.size();
     }
 
-    /** Returns a decode engine that may read the prompt now. */
-    private Optional<Endpoint> decoder(PrefillRequest turn) {
+    /** Returns a decode engine that may prefill the prompt now, and records the prompt as begun there. */
+    private Optional<Endpoint> findDecodeEngine(PrefillRequest request) {
         long now = context.now();
-        double pace = engines.millisPerToken();
+        double millisPerToken = engines.millisPerToken();
         Optional<Endpoint> engine = inPlace.selectEngine(
                         context.directory().usable(service, Stage.DECODE),
                         candidate -> candidate.member().id(),
-                        turn.promptTokens(),
-                        pace,
-                        turn.maxPauseMillis(),
+                        request.promptTokens(),
+                        millisPerToken,
+                        request.maxPauseMillis(),
                         now)
                 .filter(free -> free.hasFreeConnection()
                         && !free.excluded(now)
                         && !free.health().isSuspect(now));
-        engine.ifPresent(chosen -> inPlace.begin(chosen, turn.promptTokens(), pace, now));
+        engine.ifPresent(chosen -> inPlace.begin(chosen, request.promptTokens(), millisPerToken, now));
         return engine;
     }
 
@@ -152,13 +159,13 @@
         }
     }
 
-    /** Lets at most one begin or end: what a prompt takes of the engines' time shows only when it is sent. */
+    /** Begins or refuses at most one prompt: the load that a prompt adds to the engines is known only after it is sent. */
     private void checkQueue() {
-        int before = queue.size();
-        for (PrefillQueue<PrefillRequest>.Position place : queue.inOrder(context.now())) {
-            PrefillRequest turn = place.prompt();
-            decide(turn, turn.remaining());
-            if (queue.size() < before) {
+        int sizeBefore = queue.size();
+        for (PrefillQueue<PrefillRequest>.Position position : queue.inOrder(context.now())) {
+            PrefillRequest request = position.prompt();
+            decide(request, request.remaining());
+            if (queue.size() < sizeBefore) {
                 return;
             }
         }
