--- a/daemon/src/main/java/org/quetzalseam/daemon/EntryDaemon.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/EntryDaemon.java
@@ -26,7 +26,7 @@
 /**
  * The entry role: holds callers' connections, routes their requests, and answers each of them once. Thread-safe.
  *
- * <p>{@link #cancel} is a planned stop: readiness goes first, running requests end. {@link #abort} drops everything at
+ * <p>{@link #stop} is a planned stop: readiness goes first, running requests end. {@link #abort} drops everything at
  * once, as a crash would.
  */
 public final class EntryDaemon implements Service {
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/Admittance.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/Admittance.java
@@ -108,7 +108,7 @@
         return key;
     }
 
-    /** Counts a request in, or refuses it. What was counted in must be counted out by {@link #remove}. */
+    /** Counts a request in, or refuses it. What was counted in must be counted out by {@link #leave}. */
     void enter(EntrySpec entry) {
         long now = System.nanoTime();
         Verdict verdict = limiter.enter(entry, router.entryCount(), now);
