--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
@@ -48,7 +48,7 @@
 /**
  * The endpoint role: the process beside one engine or service, through which every order to it passes. Thread-safe.
  *
- * <p>{@link #cancel} is a planned stop: queued work is handed back as not run, running work ends first. {@link #abort}
+ * <p>{@link #stop} is a planned stop: queued work is handed back as not run, running work ends first. {@link #abort}
  * drops everything at once, as a crash would.
  */
 public final class EndpointDaemon implements Service {
