--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceAttempt.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceAttempt.java
@@ -36,7 +36,7 @@
      * @param id the attempt
      * @param key how it uses an idempotency key
      * @param waitMillis longest wait in the endpoint's queue
-     * @return {@link Answer}, {@link Refused} when it was proved not to have run, {@link Failed} when it may have run, or
+     * @return {@link PendingAnswer}, {@link Refused} when it was proved not to have run, {@link Failed} when it may have run, or
      *     {@link AttemptEvent.Lost} when the endpoint is lost and nothing can be proved
      */
     AttemptReply call(EndpointLink link, AttemptId id, KeyUse key, long waitMillis) {
