--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Admission.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Admission.java
@@ -23,8 +23,8 @@
 import org.quetzalseam.wire.message.Refused;
 
 /**
- * The gate itself: takes jobs in or refuses them, queues them, gives them places, and ends them. Every job that was taken
- * in gives its place back exactly once, whether it ends, fails, is cancelled or loses its lease. Thread-safe.
+ * Admits or refuses jobs, queues them, books slots for them, and ends them. Every admitted job releases its slot
+ * exactly once, whether it ends, fails, is cancelled or loses its lease. Thread-safe.
  */
 final class Admission {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -32,14 +32,15 @@
     private static final double SMOOTHING_FACTOR = 0.1;
 
     /**
-     * How jobs are admitted. Immutable.
+     * Rules by which jobs are admitted. Immutable.
      *
-     * @param queue order of waiting jobs
+     * @param queue queue of waiting jobs, which decides their order
      * @param shedding whether jobs that would wait too long are refused at once
-     * @param countRunning whether running jobs count towards the backlog, as where a place does one job at a time
-     * @param bookingPolicy how far places are booked in advance
-     * @param longWindow most long jobs that may hold a place without having started: a place that waits for its prefill
-     *     does nothing, and takes room from short work
+     * @param countRunning whether running jobs count towards the backlog, as for prefills, where a slot runs one job at
+     *     a time
+     * @param bookingPolicy how many slots are booked before they are free
+     * @param longWindow maximum number of long jobs that may hold a slot without having started, because a slot that
+     *     waits for its prefill is idle and unavailable to short work
      */
     record Rules(
             WorkQueue queue, boolean shedding, boolean countRunning, BookingPolicy bookingPolicy, int longWindow) {}
@@ -59,11 +60,11 @@
     private boolean draining;
     private volatile long lastTickNanos = System.nanoTime();
 
-    Admission(Rules rules, SlotLedger ledger, AttemptTable<Job> table, JobRunner backend) {
+    Admission(Rules rules, SlotLedger ledger, AttemptTable<Job> table, JobRunner runner) {
         this.rules = rules;
         this.ledger = ledger;
         this.table = table;
-        this.runner = backend;
+        this.runner = runner;
     }
 
     AttemptTable<Job> table() {
@@ -71,10 +72,10 @@
     }
 
     /**
-     * Takes a job in, or refuses it.
+     * Admits a job, or refuses it.
      *
      * @param job the job
-     * @param queueLength most jobs of its catalogue entry that may wait
+     * @param queueLength maximum number of waiting jobs of its catalogue entry
      * @param lead expected time between booking and use, in milliseconds
      */
     void submit(Job job, int queueLength, long lead) {
@@ -101,7 +102,7 @@
         runBookable();
     }
 
-    /** Answers an order that came a second time, or after its attempt was sealed. */
+    /** Answers a request that arrived a second time, or after its attempt was sealed. */
     private void answerRepeated(Job job) {
         Job known = table.work(job.id());
         if (known == null) {
@@ -111,35 +112,35 @@
         }
     }
 
-    private @Nullable RefusalReason refusal(QueuedAttempt ticket, int queueLength, long now) {
+    private @Nullable RefusalReason refusal(QueuedAttempt queued, int queueLength, long now) {
         if (draining) {
             return RefusalReason.LEAVING;
         }
-        if (rules.queue().waiting(ticket.entry()) >= queueLength) {
+        if (rules.queue().waiting(queued.entry()) >= queueLength) {
             return RefusalReason.QUEUE_FULL;
         }
-        boolean late = backlogNanos(ticket) > ticket.deadlineNanos() - now;
-        return rules.shedding() && late ? RefusalReason.WAIT_TOO_LONG : null;
+        boolean tooLate = backlogNanos(queued) > queued.deadlineNanos() - now;
+        return rules.shedding() && tooLate ? RefusalReason.WAIT_TOO_LONG : null;
     }
 
-    private long retryAfterMillis(QueuedAttempt ticket, long now) {
-        long excess = backlogNanos(ticket) - (ticket.deadlineNanos() - now);
+    private long retryAfterMillis(QueuedAttempt queued, long now) {
+        long excess = backlogNanos(queued) - (queued.deadlineNanos() - now);
         return Math.max(MIN_RETRY_AFTER_MILLIS, excess / NANOS_PER_MILLI);
     }
 
-    private long backlogNanos(QueuedAttempt ticket) {
-        return backlogNanos(ticket.workClass());
+    private long backlogNanos(QueuedAttempt queued) {
+        return backlogNanos(queued.workClass());
     }
 
-    /** Returns how long work of a class that arrives now would wait. Short work doesn't wait for long work. */
+    /** Returns the expected wait of work of a class that arrives now. Short work does not wait for long work. */
     private long backlogNanos(WorkClass workClass) {
         long cost = rules.queue().costAhead(workClass);
         if (cost == 0 && isBookable(workClass, extraSlots())) {
             return 0;
         }
         boolean waitsForRunning = rules.countRunning() && workClass == WorkClass.LONG;
-        double nextPlace = meanHoldNanos / ledger.capacity();
-        return (long) (nextPlace + (cost + (waitsForRunning ? runningCost : 0)) * nanosPerCost / ledger.capacity());
+        double nextSlotNanos = meanHoldNanos / ledger.capacity();
+        return (long) (nextSlotNanos + (cost + (waitsForRunning ? runningCost : 0)) * nanosPerCost / ledger.capacity());
     }
 
     private int extraSlots() {
@@ -147,7 +148,7 @@
                 .extraSlots(ledger.capacity(), (long) (meanHoldNanos / NANOS_PER_MILLI), leadMillis);
     }
 
-    /** Gives places to waiting jobs for as long as there are any. */
+    /** Books slots for waiting jobs and runs them, until no waiting job can be booked. */
     private void runBookable() {
         Optional<Job> next = bookNext();
         while (next.isPresent()) {
@@ -159,21 +160,22 @@
     private Optional<Job> bookNext() {
         synchronized (lock) {
             int extra = extraSlots();
-            Optional<QueuedAttempt> ticket = rules.queue().poll(candidate -> isBookable(candidate.workClass(), extra));
-            if (ticket.isEmpty()) {
+            Optional<QueuedAttempt> queued = rules.queue().poll(candidate -> isBookable(candidate.workClass(), extra));
+            if (queued.isEmpty()) {
                 return Optional.empty();
             }
-            AttemptId id = ticket.get().id();
+            AttemptId id = queued.get().id();
             Job job = waiting.remove(id);
-            if (job == null || !ledger.book(id, ticket.get().workClass(), extra)) {
-                throw new IllegalStateException("attempt " + id + " was polled but can't be placed");
+            if (job == null || !ledger.book(id, queued.get().workClass(), extra)) {
+                throw new IllegalStateException(
+                        "attempt " + id + " was polled from the queue but no slot could be booked");
             }
             job.setBookedAt(System.nanoTime());
             booked.put(id, job);
-            if (ticket.get().workClass() == WorkClass.LONG) {
+            if (queued.get().workClass() == WorkClass.LONG) {
                 longUnstarted.add(id);
             }
-            runningCost += ticket.get().cost();
+            runningCost += queued.get().cost();
             return Optional.of(job);
         }
     }
@@ -183,22 +185,24 @@
         return inWindow && ledger.isAvailable(workClass, extra);
     }
 
-    /** Starts a placed job. Returns false when it was sealed or its lease has run out: then it must not run. */
+    /**
+     * Starts a job that holds a slot. Returns false when it was sealed or its lease has expired: then it must not run.
+     */
     boolean start(Job job) {
         if (!table.start(job.id(), System.nanoTime())) {
             return false;
         }
-        boolean opened;
+        boolean windowOpened;
         synchronized (lock) {
-            opened = longUnstarted.remove(job.id());
+            windowOpened = longUnstarted.remove(job.id());
         }
-        if (opened) {
+        if (windowOpened) {
             runBookable();
         }
         return true;
     }
 
-    /** Takes back the place of a job that has ended in whatever way. Calling it again does no harm. */
+    /** Releases the slot of a job that has ended in whatever way. Further calls have no effect. */
     void finish(Job job) {
         long now = System.nanoTime();
         table.finish(job.id(), now);
@@ -219,7 +223,7 @@
         meanHoldNanos = meanHoldNanos == 0 ? holdNanos : meanHoldNanos + SMOOTHING_FACTOR * (holdNanos - meanHoldNanos);
     }
 
-    /** Seals an attempt: one that has not started gives up its place in the queue or the memory. */
+    /** Seals an attempt: one that has not started loses its queue entry or its slot. */
     SealResult seal(AttemptId id) {
         SealResult result = table.seal(id, System.nanoTime());
         Job job = table.work(id);
@@ -229,7 +233,7 @@
         return result;
     }
 
-    /** Drops an attempt wherever it stands. */
+    /** Cancels an attempt, whether it waits, holds a slot or runs. */
     void cancel(AttemptId id) {
         SealResult result = seal(id);
         Job job = table.work(id);
@@ -247,24 +251,27 @@
         finish(job);
     }
 
-    /** Ends what has waited too long or lost its lease, and forgets what ended long ago. */
+    /**
+     * Ends jobs that have waited too long or whose lease has expired, and forgets those whose retention time is over.
+     */
     void tick() {
         long now = System.nanoTime();
         if (now - lastTickNanos > table.leaseNanos() / 2) {
-            // The process was paused, and heartbeats wait to be read: what they renew must not lapse before that.
+            // The process was paused, and heartbeats are still unread: the leases that they renew must not expire
+            // first.
             table.renewAll(now);
         }
         lastTickNanos = now;
-        List<Job> late = new ArrayList<>();
+        List<Job> expired = new ArrayList<>();
         synchronized (lock) {
-            for (QueuedAttempt ticket : rules.queue().expire(now)) {
-                Job job = waiting.remove(ticket.id());
+            for (QueuedAttempt queued : rules.queue().expire(now)) {
+                Job job = waiting.remove(queued.id());
                 if (job != null) {
-                    late.add(job);
+                    expired.add(job);
                 }
             }
         }
-        for (Job job : late) {
+        for (Job job : expired) {
             if (table.seal(job.id(), now) == SealResult.BEFORE_START) {
                 refuseUnstarted(job, RefusalReason.WAIT_TOO_LONG);
             }
@@ -284,15 +291,15 @@
         }
     }
 
-    /** Takes no new jobs from now on and hands back those that wait, as not run. */
+    /** Admits no new jobs from now on and refuses those that wait, as not run. */
     void drain() {
         List<QueuedAttempt> unstarted;
         List<Job> jobs = new ArrayList<>();
         synchronized (lock) {
             draining = true;
             unstarted = rules.queue().drain();
-            for (QueuedAttempt ticket : unstarted) {
-                Job job = waiting.remove(ticket.id());
+            for (QueuedAttempt queued : unstarted) {
+                Job job = waiting.remove(queued.id());
                 if (job != null) {
                     jobs.add(job);
                 }
@@ -305,7 +312,7 @@
         }
     }
 
-    /** Returns how many jobs wait or hold a place. */
+    /** Returns the number of jobs that wait or hold a slot. */
     int jobCount() {
         synchronized (lock) {
             return waiting.size() + booked.size();
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/AttemptHandler.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/AttemptHandler.java
@@ -2,11 +2,14 @@
 
 import org.quetzalseam.wire.message.AttemptMessage;
 
-/** What stands before one kind of back end. Implementations are thread-safe and don't block. */
+/**
+ * Handles the messages that entries send about attempts at one kind of back end. Implementations are thread-safe and do
+ * not block.
+ */
 interface AttemptHandler {
-    /** Takes an order of an entry. Returns false when this kind of gate doesn't take such orders. */
-    boolean handle(AttemptMessage order);
+    /** Handles a message of an entry. Returns false when this kind of back end does not handle such messages. */
+    boolean handle(AttemptMessage message);
 
-    /** Returns the gate's admission. */
+    /** Returns the admission of attempts to the back end. */
     Admission admission();
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/DecodeBackend.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/DecodeBackend.java
@@ -24,8 +24,8 @@
 import org.quetzalseam.wire.message.Refused;
 
 /**
- * The gate before an engine that decodes: a place is a share of the engine's memory, held from booking until the last
- * output. Where places are booked ahead, a decode whose place is not free yet waits for it. Thread-safe.
+ * Admits decodes and runs them on an engine. A slot is a share of the engine's memory, held from booking until the last
+ * output. Where slots are booked ahead, a decode whose slot is not free yet waits for it. Thread-safe.
  */
 final class DecodeBackend implements AttemptHandler, JobRunner {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -37,13 +37,13 @@
     private final Set<AttemptId> running = new HashSet<>();
     private final Deque<WaitingDecode> waitingForSlot = new ArrayDeque<>();
 
-    /** A started decode whose place is not free yet. */
+    /** A started decode that waits until its slot is free. */
     private record WaitingDecode(Job job, Decode decode) {}
 
-    DecodeBackend(Engine engine, Sessions sessions, int places, Function<JobRunner, Admission> admission) {
+    DecodeBackend(Engine engine, Sessions sessions, int slots, Function<JobRunner, Admission> admission) {
         this.engine = engine;
         this.sessions = sessions;
-        this.slots = places;
+        this.slots = slots;
         this.admission = admission.apply(this);
     }
 
@@ -53,14 +53,14 @@
     }
 
     @Override
-    public boolean handle(AttemptMessage order) {
-        if (order instanceof Book book) {
+    public boolean handle(AttemptMessage message) {
+        if (message instanceof Book book) {
             int cost = book.work().outputTokens();
             Job job = new Job(QueuedAttempts.of(book.attempt(), book.work(), cost), book, sessions);
             admission.submit(job, book.work().queueLength(), book.leadMillis());
             return true;
         }
-        if (order instanceof Decode decode) {
+        if (message instanceof Decode decode) {
             decode(decode);
             return true;
         }
@@ -75,7 +75,7 @@
     private void decode(Decode decode) {
         Job job = admission.table().work(decode.attempt());
         if (job != null && job.isStarted()) {
-            // The entry sent it again after a lost connection.
+            // The entry has sent the message again after a lost connection.
             return;
         }
         if (job == null || job.bookedAtNanos() == 0 || !admission.start(job)) {
@@ -104,7 +104,9 @@
         engine.decode(request, decode.transfer(), new JobSink(job));
     }
 
-    /** Takes note that the engine no longer holds memory for a job, and starts one that waits for it. */
+    /**
+     * Releases the slot of a job for which the engine no longer holds memory, and starts a decode that waits for one.
+     */
     private void memoryFreed(Job job) {
         WaitingDecode next = null;
         synchronized (lock) {
@@ -150,7 +152,7 @@
         @Override
         public void failed(EngineException failure) {
             if (failure.code() == EngineException.Code.CANCELLED) {
-                // The engine still frees its memory; abort() gives the place back when it has.
+                // The engine is still freeing its memory; abort() releases the slot afterwards.
                 return;
             }
             logger.atWarning().log(
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
@@ -46,9 +46,9 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 /**
- * The endpoint role: the process beside one engine or service, through which every order to it passes. Thread-safe.
+ * The endpoint role: the process beside one engine or service, through which every request to it passes. Thread-safe.
  *
- * <p>{@link #cancel} is a planned stop: queued work is handed back as not run, running work ends first. {@link #abort}
+ * <p>{@link #stop} is a planned stop: queued work is refused as not run, and running work ends first. {@link #abort}
  * drops everything at once, as a crash would.
  */
 public final class EndpointDaemon implements Service {
@@ -58,7 +58,7 @@
     private static final Duration KEY_PURGE_INTERVAL = Duration.ofSeconds(5);
     private static final Duration ATTEMPT_RETENTION = Duration.ofSeconds(30);
     private static final long DRAIN_POLL_MILLIS = 20;
-    /** How long peers may take to read the last messages: as long as a silent connection is kept. */
+    /** Time that peers have to read the last messages: as long as an idle connection is kept open. */
     private static final Duration LAST_MESSAGES_TIMEOUT = Duration.ofSeconds(6);
 
     private final Settings settings;
@@ -73,7 +73,7 @@
     private volatile SiteState state = SiteState.none();
     private volatile boolean draining;
 
-    /** Creates an endpoint with checked settings; {@link #start} starts it. */
+    /** Creates an endpoint with validated settings; {@link #start} starts it. */
     public EndpointDaemon(Settings settings) {
         this.settings = settings;
         this.self = Identity.start(settings.role(), settings.name(), settings.zone());
@@ -156,7 +156,7 @@
         return acceptor.port();
     }
 
-    /** Returns the highest version of the catalogue that the endpoint passes on. */
+    /** Returns the highest version of the catalogue that the endpoint forwards. */
     public long catalogueVersion() {
         return state.manifest().version();
     }
@@ -166,7 +166,7 @@
         return handler.admission().load();
     }
 
-    /** Returns the operators' port. */
+    /** Returns the port of the operator interface. */
     public int operatorPort() {
         return operatorServer.port();
     }
@@ -196,36 +196,38 @@
             sessions.shutdownAcknowledged(connection);
         } else if (message instanceof FetchState) {
             connection.send(state);
-        } else if (message instanceof SiteState given) {
-            updateState(given);
-        } else if (message instanceof AttemptMessage order) {
-            handleAttemptMessage(order);
+        } else if (message instanceof SiteState received) {
+            updateState(received);
+        } else if (message instanceof AttemptMessage attemptMessage) {
+            handleAttemptMessage(attemptMessage);
         }
     }
 
-    private synchronized void updateState(SiteState given) {
-        state = SiteState.newer(state, given);
+    private synchronized void updateState(SiteState received) {
+        state = SiteState.newer(state, received);
     }
 
-    private void handleAttemptMessage(AttemptMessage order) {
-        AttemptId id = order.attempt();
-        if (order instanceof Cancel) {
+    private void handleAttemptMessage(AttemptMessage message) {
+        AttemptId id = message.attempt();
+        if (message instanceof Cancel) {
             handler.admission().cancel(id);
-        } else if (order instanceof Seal) {
+        } else if (message instanceof Seal) {
             sessions.send(
                     id.entry(),
                     new SealAnswer(
                             id,
                             handler.admission().seal(id),
                             handler.admission().load()));
-        } else if (order instanceof Resume resume) {
+        } else if (message instanceof Resume resume) {
             resume(resume);
-        } else if (!handler.handle(order)) {
+        } else if (!handler.handle(message)) {
             refuse(id, RefusalReason.WRONG_ENDPOINT);
         }
     }
 
-    /** Says again what is known of an attempt; one that never arrived is sealed and reported as not run. */
+    /**
+     * Repeats the outputs and the last reply of an attempt; one that never arrived is sealed and reported as not run.
+     */
     private void resume(Resume resume) {
         Job job = handler.admission().table().work(resume.attempt());
         if (job != null) {
@@ -243,8 +245,8 @@
     @Override
     public void stop() {
         startDraining();
-        long until = timers.now() + settings.timing().drain().toNanos();
-        while (handler.admission().jobCount() > 0 && timers.now() - until < 0 && !isAborted()) {
+        long deadline = timers.now() + settings.timing().drain().toNanos();
+        while (handler.admission().jobCount() > 0 && timers.now() - deadline < 0 && !isAborted()) {
             pause();
         }
         if (handler.admission().jobCount() > 0) {
@@ -259,10 +261,10 @@
         logger.atInfo().log("event=stopped role=endpoint name=%s", self.name());
     }
 
-    /** Goes on answering until no entry sends work in the belief that it is taken here. */
+    /** Waits, still answering, until every entry has acknowledged the shutdown and so sends no new work here. */
     private void awaitAcknowledgements() {
-        long until = timers.now() + settings.timing().lease().toNanos();
-        while (!sessions.allAcknowledgedShutdown() && timers.now() - until < 0 && !isAborted()) {
+        long deadline = timers.now() + settings.timing().lease().toNanos();
+        while (!sessions.allAcknowledgedShutdown() && timers.now() - deadline < 0 && !isAborted()) {
             pause();
         }
         if (!sessions.allAcknowledgedShutdown()) {
@@ -270,7 +272,10 @@
         }
     }
 
-    /** Work is over when its last output is handed to a connection, which may be seconds before that has left. */
+    /**
+     * Waits for the last messages: work ends when its last output is queued on a connection, perhaps seconds before it
+     * is sent.
+     */
     private void deliverLastMessages() {
         try {
             acceptor.finish().get(LAST_MESSAGES_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
@@ -281,13 +286,13 @@
                     LAST_MESSAGES_TIMEOUT.toMillis(),
                     acceptor.connections().size());
         } catch (ExecutionException e) {
-            throw new IllegalStateException("connections end without a result", e);
+            throw new IllegalStateException("closing the connections failed", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Takes no new work from now on, tells every entry so, and hands queued work back. */
+    /** Accepts no new work from now on, notifies every entry, and refuses queued work as not run. */
     public void startDraining() {
         draining = true;
         handler.admission().drain();
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EngineFailures.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EngineFailures.java
@@ -4,7 +4,7 @@
 import org.quetzalseam.daemon.engine.EngineException;
 import org.quetzalseam.wire.message.FailureCode;
 
-/** Turns engines' errors into those of the protocol. Stateless. */
+/** Converts failures of engines to failure codes of the protocol. Stateless. */
 final class EngineFailures {
     private EngineFailures() {}
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/IncarnationRecords.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/IncarnationRecords.java
@@ -12,23 +12,24 @@
 import org.quetzalseam.daemon.platform.StoredObject;
 
 /**
- * Finds out what the process that ran under the same name before may have done with idempotency keys. Each process leaves
- * an object in the platform's store: one write when it starts, one when it stops as planned. A process that finds none has
- * no predecessor; one that finds the record of a planned stop knows all keys that were seen; any other must assume that
- * its predecessor crashed and may have seen any key. So must one that finds what an older copy of the store shows: a later process's
- * record may be gone. Thread-safe.
+ * Determines which idempotency keys the previous incarnation of this process, the one that ran under the same name, may
+ * have seen. Each incarnation keeps a record in the platform's store, written once when it starts and once when it
+ * stops as planned. An incarnation that finds no record has no predecessor. One that finds the record of a planned stop
+ * knows all keys that its predecessor has seen. Any other must assume that its predecessor crashed and may have seen
+ * any key. So must one that sees the state of an older copy to which the store was restored, because the record of a
+ * later incarnation may be lost. Thread-safe.
  */
 final class IncarnationRecords {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     /**
-     * The object in the store. Immutable.
+     * The stored record of one incarnation, written as JSON under the names of the components. Immutable.
      *
      * @param incarnation incarnation of the process
      * @param left whether it stopped as planned
      * @param atMillis when the record was written, in milliseconds of the epoch
      * @param era the store's era when it was written
-     * @param keys digests of the keys it had seen, when it stopped as planned
+     * @param keys digests of the keys it had seen, if it stopped as planned; else empty
      */
     record IncarnationRecord(long incarnation, boolean left, long atMillis, long era, List<String> keys) {
         IncarnationRecord {
@@ -54,19 +55,22 @@
         return predecessorKeys.map(keys -> keys.contains(key)).orElse(true);
     }
 
-    /** Reads the predecessor's record and replaces it. Returns false when the store could not be reached: try again. */
+    /**
+     * Reads the predecessor's record and replaces it. Returns false when the store failed and the call must be retried.
+     */
     synchronized boolean recordStart() {
         if (startRecorded) {
             return true;
         }
         try {
-            Optional<StoredObject> before = store.read(name);
-            Optional<IncarnationRecord> mark = before.isPresent() ? Optional.of(mark(before.get())) : Optional.empty();
-            if (mark.isPresent() && mark.get().incarnation() == incarnation) {
-                storeVersion = before.get().version();
+            Optional<StoredObject> previous = store.read(name);
+            Optional<IncarnationRecord> record =
+                    previous.isPresent() ? Optional.of(parse(previous.get())) : Optional.empty();
+            if (record.isPresent() && record.get().incarnation() == incarnation) {
+                storeVersion = previous.get().version();
             } else {
-                predecessorKeys = keysSeenBy(mark);
-                storeVersion = write(mark(false, List.of()), before);
+                predecessorKeys = keysSeenBy(record);
+                storeVersion = write(newRecord(false, List.of()), previous);
             }
             startRecorded = true;
             return true;
@@ -76,30 +80,30 @@
         }
     }
 
-    private Optional<Set<String>> keysSeenBy(Optional<IncarnationRecord> before) {
-        if (before.isEmpty()) {
+    private Optional<Set<String>> keysSeenBy(Optional<IncarnationRecord> previous) {
+        if (previous.isEmpty()) {
             return store.era() == StorePosition.NO_ERA ? Optional.of(Set.of()) : Optional.empty();
         }
-        boolean lastWord = before.get().left() && before.get().era() == store.era();
-        return lastWord ? Optional.of(Set.copyOf(before.get().keys())) : Optional.empty();
+        boolean isLatest = previous.get().left() && previous.get().era() == store.era();
+        return isLatest ? Optional.of(Set.copyOf(previous.get().keys())) : Optional.empty();
     }
 
-    private IncarnationRecord mark(boolean left, List<String> keys) {
+    private IncarnationRecord newRecord(boolean left, List<String> keys) {
         return new IncarnationRecord(incarnation, left, System.currentTimeMillis(), store.era(), keys);
     }
 
-    private static IncarnationRecord mark(StoredObject object) throws IOException {
+    private static IncarnationRecord parse(StoredObject object) throws IOException {
         return Json.read(object.value(), IncarnationRecord.class);
     }
 
-    private long write(IncarnationRecord mark, Optional<StoredObject> before) {
-        byte[] value = Json.write(mark);
-        return before.isEmpty()
+    private long write(IncarnationRecord record, Optional<StoredObject> previous) {
+        byte[] value = Json.write(record);
+        return previous.isEmpty()
                 ? store.create(name, value).version()
-                : store.replace(name, value, before.get().version()).version();
+                : store.replace(name, value, previous.get().version()).version();
     }
 
-    /** Leaves the record of a planned stop. When the store can't be reached, the successor assumes a crash. */
+    /** Writes the record of a planned stop. If the store cannot be reached, the successor assumes a crash. */
     synchronized void recordPlannedStop(List<String> keys) {
         if (!startRecorded) {
             return;
@@ -111,23 +115,26 @@
         }
     }
 
-    /** Reads the record first: only an answer tells whether the store came back, and a condition of before may name another's record. */
+    /**
+     * Writes the record of a planned stop. Reads the current record first, because only a response shows whether the
+     * store was restored, and after a restore the version known from before may be that of another process's record.
+     */
     private void writePlannedStop(List<String> keys) throws IOException {
-        Optional<StoredObject> shown = store.read(name);
+        Optional<StoredObject> current = store.read(name);
         if (StorePosition.ofNumber(storeVersion).era() == store.era()) {
-            store.replace(name, Json.write(mark(true, keys)), storeVersion);
-        } else if (isFromSuccessor(shown)) {
+            store.replace(name, Json.write(newRecord(true, keys)), storeVersion);
+        } else if (isFromSuccessor(current)) {
             logger.atWarning().log("event=tenure-not-ended name=%s reason=\"a successor has begun\"", name);
         } else {
-            write(mark(true, keys), shown);
+            write(newRecord(true, keys), current);
         }
     }
 
-    private boolean isFromSuccessor(Optional<StoredObject> shown) throws IOException {
-        if (shown.isEmpty()) {
+    private boolean isFromSuccessor(Optional<StoredObject> current) throws IOException {
+        if (current.isEmpty()) {
             return false;
         }
-        IncarnationRecord mark = mark(shown.get());
-        return mark.incarnation() != incarnation && mark.era() == store.era();
+        IncarnationRecord record = parse(current.get());
+        return record.incarnation() != incarnation && record.era() == store.era();
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Job.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Job.java
@@ -13,8 +13,8 @@
 import org.quetzalseam.wire.message.Refused;
 
 /**
- * One attempt at one endpoint, with all that has been said of it, so that it can be said again after a lost connection.
- * Thread-safe.
+ * One attempt at this endpoint, with its outputs and its last reply, so that they can be sent again after a lost
+ * connection. Thread-safe.
  */
 final class Job {
     private final QueuedAttempt queuedAttempt;
@@ -27,8 +27,8 @@
     private volatile long bookedAtNanos;
     private volatile boolean started;
 
-    Job(QueuedAttempt ticket, AttemptMessage request, Sessions sessions) {
-        this.queuedAttempt = ticket;
+    Job(QueuedAttempt queuedAttempt, AttemptMessage request, Sessions sessions) {
+        this.queuedAttempt = queuedAttempt;
         this.request = request;
         this.sessions = sessions;
     }
@@ -45,7 +45,7 @@
         return request;
     }
 
-    /** Returns when the job was given its place, in nanoseconds of the monotonic clock. */
+    /** Returns when a slot was booked for the job, in nanoseconds of the monotonic clock; 0 if none has been. */
     long bookedAtNanos() {
         return bookedAtNanos;
     }
@@ -54,7 +54,7 @@
         bookedAtNanos = now;
     }
 
-    /** Returns whether the back end has been given the job. */
+    /** Returns whether the job has been started on the back end. */
     boolean isStarted() {
         return started;
     }
@@ -63,17 +63,17 @@
         started = true;
     }
 
-    /** Calls the listener if the job ends or has ended by being refused, that is, without having run. */
+    /** Calls the listener if the job is or has been refused, that is, has ended without having run. */
     void whenRefused(Consumer<Refused> listener) {
-        Refused early = null;
+        Refused alreadyRefused = null;
         synchronized (this) {
             refusalListener = listener;
             if (lastReply instanceof Refused refused) {
-                early = refused;
+                alreadyRefused = refused;
             }
         }
-        if (early != null) {
-            listener.accept(early);
+        if (alreadyRefused != null) {
+            listener.accept(alreadyRefused);
         }
     }
 
@@ -81,7 +81,7 @@
         return complete;
     }
 
-    /** Sends a reply that isn't the last one. */
+    /** Sends a reply that is not the final one, unless the final one has been sent. */
     synchronized void sendInterim(AttemptReply reply) {
         if (!complete) {
             lastReply = reply;
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Sends the last reply. Returns false, and sends nothing, when there has been one. */
+    /** Sends the final reply. Returns false, and sends nothing, when one has been sent before. */
     boolean complete(AttemptReply reply) {
         Consumer<Refused> listener;
         synchronized (this) {
@@ -118,7 +118,7 @@
         return outputs.size();
     }
 
-    /** Sends again what the entry may have missed: outputs from an index on, and the latest reply. */
+    /** Sends again what the entry may have missed: the outputs from index {@code next} on, and the last reply. */
     synchronized void replay(int next, Load load) {
         if (next < outputs.size()) {
             List<String> missed = List.copyOf(outputs.subList(Math.max(0, next), outputs.size()));
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/PrefillBackend.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/PrefillBackend.java
@@ -15,7 +15,7 @@
 import org.quetzalseam.wire.message.RefusalReason;
 import org.quetzalseam.wire.message.Refused;
 
-/** The gate before an engine that prefills: a place is one prompt being prefilled. Thread-safe. */
+/** Admits prefills and runs them on an engine. A slot is one prompt being prefilled. Thread-safe. */
 final class PrefillBackend implements AttemptHandler, JobRunner {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -35,8 +35,8 @@
     }
 
     @Override
-    public boolean handle(AttemptMessage order) {
-        if (!(order instanceof Prefill prefill)) {
+    public boolean handle(AttemptMessage message) {
+        if (!(message instanceof Prefill prefill)) {
             return false;
         }
         int cost = prefill.work().promptTokens();
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/ServiceBackend.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/ServiceBackend.java
@@ -27,12 +27,12 @@
 import org.quetzalseam.wire.runtime.Service;
 
 /**
- * The gate before a plain service: a place is one call that runs. It is also the holder of the idempotency keys that
- * rendezvous hashing gives to this endpoint, so that a key is decided on where its call would run. Thread-safe.
+ * Admits calls and runs them on a plain service. A slot is one running call. It also holds the idempotency keys that
+ * rendezvous hashing assigns to this endpoint, so that a key is checked where its call would run. Thread-safe.
  */
 final class ServiceBackend implements AttemptHandler, JobRunner, Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** By how much the clocks of callers may be ahead, and a list of VMs may lag behind. */
+    /** Maximum time by which the clocks of callers may be ahead, and by which a list of VMs may lag behind. */
     private static final Duration CLOCK_MARGIN = Duration.ofSeconds(5);
 
     private final HttpServiceClient client;
@@ -48,13 +48,13 @@
     ServiceBackend(
             HttpServiceClient client,
             Sessions sessions,
-            IncarnationRecords tenure,
+            IncarnationRecords incarnationRecords,
             long incarnation,
             Duration keyRetention,
             Function<JobRunner, Admission> admission) {
         this.client = client;
         this.sessions = sessions;
-        this.incarnationRecords = tenure;
+        this.incarnationRecords = incarnationRecords;
         this.incarnation = incarnation;
         this.keyRetentionNanos = keyRetention.toNanos();
         this.keys = new KeyTable<>(keyRetentionNanos);
@@ -76,24 +76,24 @@
         client.stop();
     }
 
-    /** Notes the highest version of the list of VMs that any entry uses. */
+    /** Records the highest version of the list of VMs that any entry uses. */
     void updateMembersVersion(long version) {
         synchronized (this) {
             membersVersion = Math.max(membersVersion, version);
         }
     }
 
-    /** Returns the digests of the keys seen or barred here and not yet forgotten. */
+    /** Returns the digests of the keys that were seen or fenced here and are not yet forgotten. */
     List<String> retainedKeys() {
         return keys.retainedKeys();
     }
 
-    /** Finds out about the process before this one. Returns false when that has to be tried again. */
+    /** Reads the record of the previous incarnation and replaces it. Returns false when that must be retried. */
     boolean recordStart() {
         return incarnationRecords.recordStart();
     }
 
-    /** Leaves word for the process after this one. */
+    /** Records the planned stop, with the keys seen here, for the next incarnation. */
     void recordPlannedStop() {
         incarnationRecords.recordPlannedStop(keys.retainedKeys());
     }
@@ -103,13 +103,13 @@
     }
 
     @Override
-    public boolean handle(AttemptMessage order) {
-        if (order instanceof FenceKey fence) {
+    public boolean handle(AttemptMessage message) {
+        if (message instanceof FenceKey fence) {
             boolean neverSeen = fence(fence);
             sessions.send(fence.attempt().entry(), new KeyFenced(fence.attempt(), neverSeen, admission.load()));
             return true;
         }
-        if (!(order instanceof Call call)) {
+        if (!(message instanceof Call call)) {
             return false;
         }
         Job job = new Job(QueuedAttempts.of(call.attempt(), call.work(), 1), call, sessions);
@@ -120,17 +120,20 @@
         return true;
     }
 
-    /** Bars a key here, unless it was or may have been seen here or by the process before. */
+    /**
+     * Fences a key here, unless it was or may have been seen here or by the previous incarnation. Returns whether it is
+     * fenced.
+     */
     private boolean fence(FenceKey fence) {
         boolean known = keys.isKnown(fence.key());
-        boolean old = mayBeOlder(fence.mintedAtMillis(), System.nanoTime() - startedAtNanos);
-        if (!known && old && incarnationRecords.mayHaveBeenSeen(fence.key())) {
+        boolean beforeThisProcess = mayBeOlder(fence.mintedAtMillis(), System.nanoTime() - startedAtNanos);
+        if (!known && beforeThisProcess && incarnationRecords.mayHaveBeenSeen(fence.key())) {
             return false;
         }
         return keys.fence(fence.key(), System.nanoTime());
     }
 
-    /** Claims the call's key. Returns whether the call is to be run; otherwise the job has been or will be answered. */
+    /** Claims the call's key. Returns whether the call is to be run; else the job has been or will be answered. */
     private boolean claim(Job job, KeyUse use) {
         if (admission.load().leaving() && !keys.isKnown(use.key())) {
             refuse(job, RefusalReason.LEAVING);
@@ -141,9 +144,9 @@
             return false;
         }
         if (!keys.isKnown(use.key()) && use.fencedFor() != incarnation) {
-            Optional<RefusalReason> doubt = uncertainty(use);
-            if (doubt.isPresent()) {
-                refuse(job, doubt.get());
+            Optional<RefusalReason> refusal = uncertainty(use);
+            if (refusal.isPresent()) {
+                refuse(job, refusal.get());
                 return false;
             }
         }
@@ -156,26 +159,30 @@
             case MISMATCH -> refuse(job, RefusalReason.KEY_MISMATCH);
             case FENCED -> refuse(job, RefusalReason.KEY_MOVED);
             case ATTACHED -> {
-                // The listener answers.
+                // The listener completes the job.
             }
         }
         return false;
     }
 
-    /** Returns why a key that is unknown here may have been seen before, if it may. */
+    /**
+     * Returns the reason to refuse a key that is unknown here but may have been seen before, or empty if it cannot have
+     * been.
+     */
     private Optional<RefusalReason> uncertainty(KeyUse use) {
         long age = System.nanoTime() - startedAtNanos;
         boolean beforeThisProcess = mayBeOlder(use.mintedAtMillis(), age);
         if (beforeThisProcess && incarnationRecords.mayHaveBeenSeen(use.key())) {
             return Optional.of(RefusalReason.KEY_FORGOTTEN);
         }
-        // Also where the predecessor had not seen the key: others may have relied on that and run it.
+        // Applies even if the previous incarnation had not seen the key: other endpoints may have relied on that and
+        // run it.
         long unchanged = Duration.ofMillis(use.unchangedMillis()).toNanos();
-        boolean doubtful = beforeThisProcess || mayBeOlder(use.mintedAtMillis(), unchanged);
-        return doubtful ? Optional.of(RefusalReason.KEY_UNSURE) : Optional.empty();
+        boolean uncertain = beforeThisProcess || mayBeOlder(use.mintedAtMillis(), unchanged);
+        return uncertain ? Optional.of(RefusalReason.KEY_UNSURE) : Optional.empty();
     }
 
-    /** Returns whether a key may have been used before a change that was {@code nanosAgo}. */
+    /** Returns whether a key may have been used before a change that happened {@code nanosAgo} nanoseconds ago. */
     private boolean mayBeOlder(long mintedAtMillis, long nanosAgo) {
         if (nanosAgo >= keyRetentionNanos) {
             return false;
@@ -188,7 +195,7 @@
         job.complete(new Refused(job.id(), reason, 0, admission.load()));
     }
 
-    /** Returns a reply to one attempt as a reply to another with the same key. */
+    /** Returns the reply to an attempt with the same key, addressed to the attempt of the job. */
     private static AttemptReply readdress(Job job, AttemptReply reply) {
         Load load = reply.load();
         if (reply instanceof Answer answer) {
@@ -245,7 +252,10 @@
         job.complete(reply);
     }
 
-    /** A call that has begun can't be taken back: it runs to its end, and its answer stays readable for its key. */
+    /**
+     * Fails the job only: a started call cannot be cancelled, so it runs to its end, and its answer stays available
+     * under its key.
+     */
     @Override
     public void abort(Job job) {
         job.complete(new Failed(job.id(), FailureCode.CANCELLED, "cancelled", admission.load()));
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Sessions.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Sessions.java
@@ -11,7 +11,7 @@
 
 /**
  * The current connection of each entry process. A newer connection of the same incarnation replaces the older one, and
- * what still arrives on the older one is not taken. Thread-safe.
+ * messages that still arrive on the older one are ignored. Thread-safe.
  */
 final class Sessions {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -22,17 +22,17 @@
 
     void opened(Connection connection) {
         long incarnation = connection.peer().incarnation();
-        Connection kept = byIncarnation.merge(incarnation, connection, (a, b) -> a.number() > b.number() ? a : b);
-        if (kept != connection) {
+        Connection current = byIncarnation.merge(incarnation, connection, (a, b) -> a.number() > b.number() ? a : b);
+        if (current != connection) {
             connection.close();
         }
-        Leaving told = shutdownNotice;
-        if (told != null) {
-            sendLeaving(connection, told);
+        Leaving announced = shutdownNotice;
+        if (announced != null) {
+            sendLeaving(connection, announced);
         }
     }
 
-    /** Returns whether a message that arrived on the connection is to be taken. */
+    /** Returns whether the connection is the current one of its peer, so that messages on it are to be handled. */
     boolean isCurrent(Connection connection) {
         return byIncarnation.get(connection.peer().incarnation()) == connection;
     }
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Tells every entry that this process leaves, also those whose connection opens later. */
+    /** Notifies every entry that this process is shutting down, including those whose connection opens later. */
     void announceShutdown(Leaving leaving) {
         shutdownNotice = leaving;
         byIncarnation.values().forEach(connection -> sendLeaving(connection, leaving));
@@ -63,12 +63,15 @@
         }
     }
 
-    /** Takes note that what an entry sends on a connection from now on it sends knowing that this process leaves. */
+    /**
+     * Records that the entry on a connection has acknowledged the shutdown, so that it sends no new work on it any
+     * more.
+     */
     void shutdownAcknowledged(Connection connection) {
         unacknowledged.remove(connection);
     }
 
-    /** Returns whether each entry that was told has heard that this process leaves, or its connection is closed. */
+    /** Returns whether every notified entry has acknowledged the shutdown, or its connection is closed. */
     boolean allAcknowledgedShutdown() {
         return unacknowledged.isEmpty();
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/package-info.java
@@ -1,4 +1,4 @@
-/** The endpoint role: the gate before one engine or service. */
+/** The endpoint role: admits attempts to one engine or service and runs them. */
 @NullMarked
 package org.quetzalseam.daemon.endpoint;
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/Engine.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/Engine.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A model engine. Implementations are thread-safe, and none of the methods blocks. */
+/** A model engine. Implementations are thread-safe and do not block. */
 public interface Engine {
     /**
-     * Prefills a prompt. The result describes where the KV cache can be fetched, as JSON; it stays valid for less than a
-     * second. The future fails with an {@link EngineException}.
+     * Prefills a prompt. The result describes where the KV cache can be fetched, as JSON; it stays valid for less than
+     * a second. The future fails with an {@link EngineException}.
      */
     CompletableFuture<byte[]> prefill(EngineRequest request);
 
@@ -14,8 +14,8 @@
     void decode(EngineRequest request, byte[] transfer, OutputSink sink);
 
     /**
-     * Drops a request wherever it stands, also one that has not arrived yet. The future completes when the engine has
-     * freed its memory.
+     * Cancels a request in whatever state, including one that has not arrived yet. The future completes when the engine
+     * has freed its memory.
      */
     CompletableFuture<Void> cancel(String id);
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/EngineException.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/EngineException.java
@@ -2,17 +2,17 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** An order to an engine that did not succeed. */
+/** Thrown when a request to an engine fails. */
 public final class EngineException extends RuntimeException {
-    /** What went wrong. */
+    /** Kinds of failure. */
     public enum Code {
-        /** The engine did not take the order: nothing was run. */
+        /** The engine did not accept the request: nothing was run. */
         NOT_RUN,
-        /** The KV cache was gone before it was fetched. */
+        /** The KV cache was removed before it was fetched. */
         TRANSFER_LOST,
-        /** The engine broke off, or its answer made no sense. */
+        /** The engine aborted its response, or the response was invalid. */
         FAILED,
-        /** The order was cancelled. */
+        /** The request was cancelled. */
         CANCELLED
     }
 
@@ -24,7 +24,7 @@
         this.code = code;
     }
 
-    /** Returns what went wrong. */
+    /** Returns the kind of failure. */
     public Code code() {
         return code;
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/EngineRequest.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/EngineRequest.java
@@ -1,10 +1,10 @@
 package org.quetzalseam.daemon.engine;
 
 /**
- * A request to an engine. Immutable; the array isn't copied and must not be changed.
+ * A request to an engine. Immutable; the array is not copied and must not be changed.
  *
- * @param id name by which it can be cancelled
- * @param priority lower numbers go first, where the engine honours priorities
+ * @param id identifier by which it can be cancelled
+ * @param priority requests with lower numbers run first, if the engine supports priorities
  * @param body the caller's request, as JSON
  */
 public record EngineRequest(String id, int priority, byte[] body) {}
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/EventStreamParser.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/EventStreamParser.java
@@ -13,8 +13,8 @@
 import org.quetzalseam.daemon.engine.EngineException.Code;
 
 /**
- * Turns the server-sent events of one stream into outputs. The sink is told of exactly one end, whatever happens. Called
- * by the HTTP client, one call at a time, but for {@link #cancel} and {@link #fail}, which any thread may call.
+ * Parses the server-sent events of one stream into outputs. Reports exactly one end to the sink, whatever happens. The
+ * HTTP client makes one call at a time, except that any thread may call {@link #cancel} and {@link #fail}.
  */
 final class EventStreamParser {
     private static final String DATA = "data:";
@@ -28,9 +28,9 @@
     private String finishReason = "stop";
     private volatile Flow.@Nullable Subscription subscription;
 
-    EventStreamParser(OutputSink sink, Runnable ended) {
+    EventStreamParser(OutputSink sink, Runnable endListener) {
         this.sink = sink;
-        this.endListener = ended;
+        this.endListener = endListener;
     }
 
     Flow.Subscriber<List<ByteBuffer>> byteSubscriber() {
@@ -39,12 +39,12 @@
 
     private final class ByteSubscriber implements Flow.Subscriber<List<ByteBuffer>> {
         @Override
-        public void onSubscribe(Flow.Subscription given) {
-            subscription = given;
+        public void onSubscribe(Flow.Subscription newSubscription) {
+            subscription = newSubscription;
             if (ended.get()) {
-                given.cancel();
+                newSubscription.cancel();
             } else {
-                given.request(Long.MAX_VALUE);
+                newSubscription.request(Long.MAX_VALUE);
             }
         }
 
@@ -116,9 +116,9 @@
     }
 
     private void cancelSubscription() {
-        Flow.Subscription given = subscription;
-        if (given != null) {
-            given.cancel();
+        Flow.Subscription current = subscription;
+        if (current != null) {
+            current.cancel();
         }
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/HttpEngine.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/HttpEngine.java
@@ -21,7 +21,8 @@
 
 /**
  * An engine over HTTP: completions in the usual JSON form with {@code request_id}, {@code priority} and
- * {@code kv_transfer_params}, streams as server-sent events, and {@code DELETE} of a request. Thread-safe.
+ * {@code kv_transfer_params}, streams as server-sent events, and cancellation by {@code DELETE} of a request.
+ * Thread-safe.
  */
 public final class HttpEngine implements Engine {
     private static final Duration PREFILL_TIMEOUT = Duration.ofSeconds(60);
@@ -94,7 +95,7 @@
 
     @Override
     public void decode(EngineRequest request, byte[] transfer, OutputSink sink) {
-        EventStreamParser lines = new EventStreamParser(sink, () -> streams.remove(request.id()));
+        EventStreamParser parser = new EventStreamParser(sink, () -> streams.remove(request.id()));
         HttpRequest post;
         try {
             ObjectNode body = body(request);
@@ -102,26 +103,26 @@
             body.set("kv_transfer_params", Json.read(transfer));
             post = post(body);
         } catch (IOException | EngineException e) {
-            lines.fail(new EngineException(Code.NOT_RUN, "the request can't be sent: " + e.getMessage(), e));
+            parser.fail(new EngineException(Code.NOT_RUN, "the request can't be sent: " + e.getMessage(), e));
             return;
         }
-        streams.put(request.id(), lines);
-        CompletableFuture<Void> unused = client.sendAsync(post, info -> bodyOf(info, lines))
+        streams.put(request.id(), parser);
+        CompletableFuture<Void> unused = client.sendAsync(post, info -> bodyOf(info, parser))
                 .thenAccept(response -> {
                     if (response.statusCode() != OK) {
-                        lines.fail(failure(response.statusCode()));
+                        parser.fail(failure(response.statusCode()));
                     }
                 })
                 .exceptionally(failure -> {
-                    lines.fail(failure(failure));
+                    parser.fail(failure(failure));
                     return null;
                 });
     }
 
     private static HttpResponse.BodySubscriber<Integer> bodyOf(
-            HttpResponse.ResponseInfo info, EventStreamParser lines) {
+            HttpResponse.ResponseInfo info, EventStreamParser parser) {
         return info.statusCode() == OK
-                ? BodySubscribers.fromSubscriber(lines.byteSubscriber(), subscriber -> OK)
+                ? BodySubscribers.fromSubscriber(parser.byteSubscriber(), subscriber -> OK)
                 : BodySubscribers.replacing(info.statusCode());
     }
 
@@ -146,9 +147,9 @@
 
     @Override
     public CompletableFuture<Void> cancel(String id) {
-        EventStreamParser lines = streams.remove(id);
-        if (lines != null) {
-            lines.cancel();
+        EventStreamParser parser = streams.remove(id);
+        if (parser != null) {
+            parser.cancel();
         }
         HttpRequest delete = HttpRequest.newBuilder(URI.create(requestsUrl + id))
                 .timeout(CANCEL_TIMEOUT)
@@ -157,9 +158,9 @@
         return delete(delete, MAX_CANCEL_ATTEMPTS);
     }
 
-    private CompletableFuture<Void> delete(HttpRequest delete, int tries) {
+    private CompletableFuture<Void> delete(HttpRequest delete, int attemptsLeft) {
         return client.sendAsync(delete, BodyHandlers.discarding())
-                .handle((response, failure) -> failure == null || tries <= 1)
-                .thenCompose(done -> done ? CompletableFuture.completedFuture(null) : delete(delete, tries - 1));
+                .handle((response, failure) -> failure == null || attemptsLeft <= 1)
+                .thenCompose(done -> done ? CompletableFuture.completedFuture(null) : delete(delete, attemptsLeft - 1));
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/OutputSink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/OutputSink.java
@@ -1,13 +1,16 @@
 package org.quetzalseam.daemon.engine;
 
-/** Receives what an engine generates for one request: outputs in order, then exactly one end. */
+/**
+ * Receives what an engine generates for one request: the outputs in order, then exactly one call of {@link #ended} or
+ * {@link #failed}.
+ */
 public interface OutputSink {
-    /** Takes one output. */
+    /** Receives one output. */
     void output(String text);
 
-    /** Learns that the engine has generated all, and why it stopped. */
+    /** Called when the engine has generated all outputs, with the reason why it stopped. */
     void ended(String reason);
 
-    /** Learns that the engine generates no more though it has not ended. */
+    /** Called when the engine generates no more outputs although it has not ended. */
     void failed(EngineException failure);
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/package-info.java
@@ -1,4 +1,4 @@
-/** The model engine as a peer. */
+/** The client of a model engine. */
 @NullMarked
 package org.quetzalseam.daemon.engine;
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/service/HttpServiceClient.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/service/HttpServiceClient.java
@@ -22,11 +22,12 @@
 import org.quetzalseam.wire.runtime.Service;
 
 /**
- * Calls a plain service by HTTP: over pooled connections what may run twice, as the JDK's client repeats a call whose pooled
- * connection broke, and over a connection of its own, once, what may not. Thread-safe.
+ * Calls a plain service over HTTP. Calls that may run twice use pooled connections, on which the JDK's client repeats a
+ * call when its connection breaks. A call that must not run twice is sent once, over a connection of its own.
+ * Thread-safe.
  */
 public final class HttpServiceClient implements Service {
-    /** Headers that concern one connection only, or that the client sets itself. */
+    /** Headers that apply to a single connection, or that the client sets itself. */
     private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "content-length",
@@ -60,12 +61,12 @@
         singleUse.stop();
     }
 
-    /** Returns whether a header may be passed on between caller and service. */
+    /** Returns whether a header may be forwarded between caller and service. */
     public static boolean isForwarded(String header) {
         return !NOT_FORWARDED.contains(header.toLowerCase(Locale.ROOT));
     }
 
-    /** Returns the headers of a call that go to the service. */
+    /** Returns the headers of a call that are forwarded to the service. */
     static Map<String, String> forwardedHeaders(Call call) {
         return call.headers().entrySet().stream()
                 .filter(header -> isForwarded(header.getKey()))
--- a/daemon/src/main/java/org/quetzalseam/daemon/service/ServiceAnswer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/service/ServiceAnswer.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 
 /**
- * The answer of a plain service. Immutable; the array isn't copied and must not be changed.
+ * The answer of a plain service. Immutable; the array is not copied and must not be changed.
  *
  * @param status HTTP status
- * @param headers headers to pass on
+ * @param headers headers to forward to the caller
  * @param body body
  */
 public record ServiceAnswer(int status, Map<String, String> headers, byte[] body) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/service/ServiceException.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/service/ServiceException.java
@@ -2,13 +2,13 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A call to a plain service that brought no answer. */
+/** Thrown when a call to a plain service gets no answer. */
 public final class ServiceException extends RuntimeException {
-    /** What is known of the call. */
+    /** Whether the call may have run. */
     public enum Code {
-        /** The service was never reached: the call was not run. */
+        /** The service was not reached: the call was not run. */
         NOT_RUN,
-        /** The service may have run the call. */
+        /** There was no complete answer, and the service may have run the call. */
         NO_ANSWER,
         /** The service did not answer in time and may have run the call. */
         TIMEOUT
@@ -22,7 +22,7 @@
         this.code = code;
     }
 
-    /** Returns what is known of the call. */
+    /** Returns whether the call may have run. */
     public Code code() {
         return code;
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/service/SingleUseClient.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/service/SingleUseClient.java
@@ -38,13 +38,17 @@
 /**
  * Makes HTTP calls that must not run twice, each over a connection of its own, and never repeats one. Thread-safe.
  *
- * <p>The JDK's client can't do this: it keeps a connection whose answer doesn't announce its end, whatever the request asked
- * for, and a call that then meets the close has no answer although it may have run.
+ * <p>The JDK's client cannot do this: it keeps a connection open unless the answer announces that it will be closed,
+ * whatever the request asked for. A call that is then sent while the service closes the connection gets no answer
+ * although it may have run.
  */
 final class SingleUseClient implements Service {
-    /** No bound of its own: the endpoint's places bound the calls that run. */
+    /** Practically unlimited, because the endpoint's slots limit the calls that run. */
     private static final int MAX_CONNECTIONS = 65_536;
-    /** An endpoint stands before one service, whose answers one thread copies as fast as loopback brings them. */
+    /**
+     * Enough, because an endpoint serves one service, and one thread copies its answers as fast as loopback delivers
+     * them.
+     */
     private static final int IO_THREADS = 1;
 
     private static final String STOPPED = "stopped";
@@ -82,12 +86,13 @@
     /**
      * Makes a call. The future fails with a {@link ServiceException}.
      *
-     * @throws IllegalArgumentException if the call can't be expressed in HTTP
+     * @throws IllegalArgumentException if the call cannot be expressed in HTTP
      */
     CompletableFuture<ServiceAnswer> call(Call call) {
         long limit = Math.max(1, call.timeoutMillis());
         PendingCall pending = new PendingCall(request(call));
-        // HttpCore keeps the limit given here as the limit of the connection's silence.
+        // HttpCore also applies the timeout given here as the connection's idle timeout, so it must not be the connect
+        // timeout.
         Future<AsyncClientEndpoint> unused = requester.connect(host, Timeout.ofMilliseconds(limit), null, pending);
         return pending.answer(limit);
     }
@@ -103,10 +108,13 @@
         return builder.build();
     }
 
-    /** One call, from its connection to its answer. */
+    /** One call, from connecting to its answer. */
     private static final class PendingCall implements FutureCallback<AsyncClientEndpoint> {
         private final AsyncRequestProducer request;
-        /** Whichever completes it first decides whether the call is sent: the connection, or the end of the wait for it. */
+        /**
+         * Completed by the connection or by the connect timeout; whichever comes first decides whether the call is
+         * sent.
+         */
         private final CompletableFuture<AsyncClientEndpoint> connecting = new CompletableFuture<>();
 
         private final CompletableFuture<ServiceAnswer> answer = new CompletableFuture<>();
@@ -115,7 +123,7 @@
             this.request = request;
         }
 
-        /** Returns the answer. After the limit the call counts as begun, also where it was still connecting. */
+        /** Returns the answer. After the limit the call counts as started, even if it was still connecting. */
         CompletableFuture<ServiceAnswer> answer(long limitMillis) {
             CompletableFuture<Void> unused = connecting
                     .orTimeout(HttpClients.CONNECT_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
@@ -126,17 +134,17 @@
                         return null;
                     });
             return answer.orTimeout(limitMillis, TimeUnit.MILLISECONDS).exceptionallyCompose(failure -> {
-                boolean late = HttpClients.cause(failure) instanceof TimeoutException;
+                boolean timedOut = HttpClients.cause(failure) instanceof TimeoutException;
                 return CompletableFuture.failedFuture(
-                        late
+                        timedOut
                                 ? new ServiceException(Code.TIMEOUT, "the service did not answer in time", failure)
                                 : failure);
             });
         }
 
         private void failNotConnected(Throwable failure) {
-            boolean late = failure instanceof TimeoutException;
-            String reason = late
+            boolean timedOut = failure instanceof TimeoutException;
+            String reason = timedOut
                     ? "no connection within " + HttpClients.CONNECT_TIMEOUT.toMillis() + " ms"
                     : String.valueOf(failure.getMessage());
             fail(Code.NOT_RUN, reason, failure);
@@ -149,7 +157,7 @@
                 return;
             }
             CompletableFuture<ServiceAnswer> unusedAnswer =
-                    answer.whenComplete((given, failure) -> connection.releaseAndDiscard());
+                    answer.whenComplete((result, failure) -> connection.releaseAndDiscard());
             Future<Message<HttpResponse, byte[]>> unused = connection.execute(
                     request, new BasicResponseConsumer<>(new BasicAsyncEntityConsumer()), new Exchange());
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/service/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/service/package-info.java
@@ -1,4 +1,4 @@
-/** The plain service as a peer. */
+/** The client of a plain HTTP service. */
 @NullMarked
 package org.quetzalseam.daemon.service;
 
--- a/daemon/src/test/java/org/quetzalseam/daemon/endpoint/IncarnationRecordsTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/endpoint/IncarnationRecordsTest.java
@@ -67,7 +67,10 @@
         assertThat(first.mayHaveBeenSeen("k")).isTrue();
     }
 
-    /** The predecessor crashed after the store came back; its predecessor's word is what the copy shows. */
+    /**
+     * The store was restored to a copy with the record of the process before the predecessor; then the predecessor
+     * crashed.
+     */
     @Test
     void aPlannedStopInARestoredStoreMayNotBeTheLatestRecord() {
         IncarnationRecords first = records(1);
@@ -104,7 +107,7 @@
         assertThat(second.mayHaveBeenSeen("other")).isFalse();
     }
 
-    /** Where the copy is from before the process, its record there is its predecessor's. */
+    /** A copy that is older than the process holds the record of its predecessor in place of its own. */
     @Test
     void aPlannedStopIsKnownThoughTheRestoredStoreShowsThePredecessor() {
         records(1).recordStart();
@@ -119,7 +122,7 @@
         assertThat(third.mayHaveBeenSeen("other")).isFalse();
     }
 
-    /** A process that is told late to stop doesn't overwrite what its successor left in the new era. */
+    /** A process that stops late does not overwrite the record that its successor wrote in the new era. */
     @Test
     void aSuccessorsRecordOfTheNewEraIsNotOverwritten() {
         PlatformStandIn.Copy copy = platform.copy();
--- a/daemon/src/test/java/org/quetzalseam/daemon/service/HttpServiceClientTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/service/HttpServiceClientTest.java
@@ -71,8 +71,9 @@
     }
 
     /**
-     * A service may close a connection whose last answer did not announce that. A call that meets the close has no answer and
-     * may have run, so a call that must not run twice takes a connection that no call has used before.
+     * A service may close a connection without having announced it in the last answer. A call sent during that close
+     * gets no answer and may have run, so a call that must not run twice uses a connection that no call has used
+     * before.
      */
     @Test
     void aCallThatMayNotBeRepeatedUsesAConnectionOfItsOwnThoughTheLastOneIsLeftOpen() {
@@ -157,9 +158,10 @@
     }
 
     /**
-     * A call that must not run twice was told {@code backend-failed}, outcome unknown, when its service took longer than two seconds, however
-     * long it might take: {@code service-gave-no-answer … reason=the service gave no answer: 2000 MILLISECONDS}, 32 times beside a load of 50 to
-     * 119. The limit for making the connection stays on it as the limit of its silence.
+     * Guards against the connect timeout staying on the connection as its idle timeout. A call that must not run twice
+     * then failed with {@code backend-failed}, outcome unknown, whenever its service took longer than two seconds,
+     * regardless of the call's own timeout: {@code service-gave-no-answer … reason=the service gave no answer: 2000
+     * MILLISECONDS}. This was seen 32 times beside a load of 50 to 119.
      */
     @Test
     void aCallMayTakeLongerThanItsConnectionMayTakeToBeMade() {
