--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/Admittance.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/Admittance.java
@@ -111,7 +111,7 @@
     /** Counts a request in, or refuses it. What was counted in must be counted out by {@link #remove}. */
     void enter(EntrySpec entry) {
         long now = System.nanoTime();
-        Verdict verdict = limiter.enter(entry, router.entries(), now);
+        Verdict verdict = limiter.enter(entry, router.entryCount(), now);
         if (verdict == Verdict.ENTERED) {
             return;
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/AttemptEnded.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/AttemptEnded.java
@@ -23,7 +23,7 @@
         this.next = next;
     }
 
-    static AttemptEnded last(Outcome outcome, String code, String message, boolean retrySafe, int outputs) {
+    static AttemptEnded terminal(Outcome outcome, String code, String message, boolean retrySafe, int outputs) {
         return new AttemptEnded(RunResult.ended(outcome, code, message, retrySafe, outputs), Next.NONE);
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/Event.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/AttemptEvent.java
@@ -10,7 +10,7 @@
  * @param link the endpoint
  * @param reply what it said
  */
-record Event(EndpointLink link, AttemptReply reply) {
+record AttemptEvent(EndpointLink link, AttemptReply reply) {
     /**
      * Stands for a reply that will never come: the endpoint was restarted or can't be reached within the lease.
      *
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionAttempt.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionAttempt.java
@@ -26,15 +26,15 @@
  * the outputs are delivered. Used by one thread. {@link #run} ends with a result or with {@link AttemptEnded}.
  */
 final class CompletionAttempt {
-    private static final long PROBE_MILLIS = 250;
-    private static final long GRACE_MILLIS = 2_000;
-    private static final long PREFILL_LIMIT_MILLIS = 60_000;
-    private static final long OUTPUT_LIMIT_MILLIS = 60_000;
-    private static final int ADMITTED_QUEUE = 10_000;
+    private static final long PROBE_INTERVAL_MILLIS = 250;
+    private static final long REPLY_MARGIN_MILLIS = 2_000;
+    private static final long PREFILL_TIMEOUT_MILLIS = 60_000;
+    private static final long OUTPUT_TIMEOUT_MILLIS = 60_000;
+    private static final int ADMITTED_QUEUE_LENGTH = 10_000;
     /** What has been admitted once is not turned away again because an attempt broke: it may wait this long. */
     private static final long ADMITTED_WAIT_MILLIS = 60_000;
 
-    private static final int PREFILL_TRIES = 4;
+    private static final int MAX_PREFILL_ATTEMPTS = 4;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final EntryContext context;
@@ -42,7 +42,7 @@
     private final AnswerSink sink;
     private final Trace trace;
     private final AttemptId id;
-    private final Set<String> leftOut;
+    private final Set<String> excluded;
     private final long requestStarted;
     private final Inbox inbox = new Inbox();
     private @Nullable EndpointLink decoder;
@@ -65,13 +65,13 @@
         this.sink = sink;
         this.trace = trace;
         this.id = id;
-        this.leftOut = leftOut;
+        this.excluded = leftOut;
         this.requestStarted = requestStarted;
         this.admitted = admitted;
     }
 
     /** Returns whether any engine has begun to work on this attempt. */
-    boolean ran() {
+    boolean hasRun() {
         return prefilled || delivered > 0;
     }
 
@@ -79,7 +79,7 @@
         try {
             return context.settings().policy().booking() == BookingOrder.BEFORE_PREFILL ? bookFirst() : prefillFirst();
         } finally {
-            leave();
+            cancelOutstanding();
             if (prefilled) {
                 context.metrics().prefilled(request.promptTokens(), delivered == 0);
             }
@@ -100,7 +100,7 @@
         return decode(link, transfer);
     }
 
-    private void leave() {
+    private void cancelOutstanding() {
         EndpointLink booked = decoder;
         if (booked != null) {
             booked.cancel(id);
@@ -124,7 +124,7 @@
     }
 
     /** Returns how long the request may still wait to be admitted, in milliseconds. */
-    private long waitLeft() {
+    private long remainingWaitMillis() {
         if (admitted) {
             return ADMITTED_WAIT_MILLIS;
         }
@@ -134,41 +134,41 @@
     }
 
     private int queueLength() {
-        return admitted ? ADMITTED_QUEUE : request.entry().limits().queueLength();
+        return admitted ? ADMITTED_QUEUE_LENGTH : request.entry().limits().queueLength();
     }
 
     /** Returns whether the caller has been told that the request is admitted. */
-    boolean admitted() {
+    boolean wasAdmitted() {
         return admitted;
     }
 
     private EndpointLink book() {
-        long wait = waitLeft();
+        long wait = remainingWaitMillis();
         if (wait <= 0) {
             throw AttemptEnded.refused("wait-too-long", "no engine memory became free in time", 1_000, Next.NONE);
         }
-        EndpointLink link = choose(request.model().decodePool(), leftOut);
-        long lead = context.fleet().expectedMillis(request.model().prefillPool(), request.promptTokens());
+        EndpointLink link = choose(request.model().decodePool(), excluded);
+        long lead = context.fleet().expectedPrefillMillis(request.model().prefillPool(), request.promptTokens());
         Book order = new Book(id, work(wait, queueLength()), lead);
         if (!link.begin(order, inbox, request.outputTokens())) {
-            leftOut.add(link.name());
+            excluded.add(link.name());
             throw AttemptEnded.refused("endpoint-lost", "the endpoint was lost", 0, Next.RETRY_FREE);
         }
         decoder = link;
         trace.note("asked " + link.name() + " for decode memory");
-        long until = context.timers().now() + (wait + GRACE_MILLIS) * NANOS_PER_MILLI;
+        long until = context.timers().now() + (wait + REPLY_MARGIN_MILLIS) * NANOS_PER_MILLI;
         while (true) {
-            Event event = await(until, "wait-too-long");
+            AttemptEvent event = await(until, "wait-too-long");
             if (event.link() == link && event.reply() instanceof Booked) {
                 trace.note("booked at " + link.name());
                 return link;
             }
-            endIfOver(event, link);
+            throwIfEnded(event, link);
         }
     }
 
     private EndpointLink choose(String pool, Set<String> without) {
-        long patience = Math.min(context.settings().timing().lease().toMillis(), Math.max(0, waitLeft()));
+        long patience = Math.min(context.settings().timing().lease().toMillis(), Math.max(0, remainingWaitMillis()));
         return context.fleet()
                 .chooseWithin(patience, request.entry().workClass(), pool, request.affinity(), without)
                 .orElseThrow(() -> AttemptEnded.refused(
@@ -179,56 +179,56 @@
         if (!admitted) {
             admitted = true;
             if (!sink.admitted()) {
-                throw callerGone();
+                throw callerDisconnected();
             }
         }
     }
 
-    private AttemptEnded callerGone() {
-        return AttemptEnded.last(Outcome.INCOMPLETE, "caller-gone", "the caller is gone", true, delivered);
+    private AttemptEnded callerDisconnected() {
+        return AttemptEnded.terminal(Outcome.INCOMPLETE, "caller-gone", "the caller is gone", true, delivered);
     }
 
     /** Waits for the next event, and meanwhile finds out if the caller has gone. */
-    private Event await(long until, String timeoutCode) {
+    private AttemptEvent await(long until, String timeoutCode) {
         while (true) {
             long left = (until - context.timers().now()) / NANOS_PER_MILLI;
             if (left <= 0) {
                 throw timeout(timeoutCode);
             }
-            Event event = inbox.poll(Math.min(PROBE_MILLIS, left));
+            AttemptEvent event = inbox.poll(Math.min(PROBE_INTERVAL_MILLIS, left));
             if (event != null) {
                 return event;
             }
             if (Thread.currentThread().isInterrupted() || (admitted && !sink.probe())) {
-                throw callerGone();
+                throw callerDisconnected();
             }
         }
     }
 
     private AttemptEnded timeout(String code) {
         if (prefilled || delivered > 0) {
-            return AttemptEnded.last(Outcome.INCOMPLETE, code, "the engine did not go on in time", true, delivered);
+            return AttemptEnded.terminal(Outcome.INCOMPLETE, code, "the engine did not go on in time", true, delivered);
         }
         return AttemptEnded.refused(code, "no engine memory became free in time", 1_000, Next.NONE);
     }
 
     /** Ends the attempt if an event of the decode endpoint means that it can't go on. */
-    private void endIfOver(Event event, EndpointLink link) {
+    private void throwIfEnded(AttemptEvent event, EndpointLink link) {
         if (event.link() != link) {
             return;
         }
         if (event.reply() instanceof Refused refused) {
-            link.end(id);
+            link.forget(id);
             throw refusal(link, refused);
         }
         if (event.reply() instanceof Failed failed) {
-            link.end(id);
-            link.failed();
-            throw broken(failed.code().label(), failed.reason());
+            link.forget(id);
+            link.recordFailure();
+            throw failure(failed.code().label(), failed.reason());
         }
-        if (event.reply() instanceof Event.Lost) {
-            leftOut.add(link.name());
-            throw broken("endpoint-lost", "the endpoint was lost");
+        if (event.reply() instanceof AttemptEvent.Lost) {
+            excluded.add(link.name());
+            throw failure("endpoint-lost", "the endpoint was lost");
         }
     }
 
@@ -239,27 +239,27 @@
             case QUEUE_FULL, WAIT_TOO_LONG ->
                 AttemptEnded.refused(code, message, refused.retryAfterMillis(), Next.NONE);
             case LEAVING, SEALED -> {
-                leftOut.add(link.name());
+                excluded.add(link.name());
                 yield AttemptEnded.refused(code, message, refused.retryAfterMillis(), Next.RETRY_FREE);
             }
             default -> {
-                leftOut.add(link.name());
-                link.failed();
+                excluded.add(link.name());
+                link.recordFailure();
                 yield AttemptEnded.refused(code, message, refused.retryAfterMillis(), Next.RETRY);
             }
         };
     }
 
-    private AttemptEnded broken(String code, String message) {
+    private AttemptEnded failure(String code, String message) {
         if (delivered > 0) {
-            return AttemptEnded.last(Outcome.INCOMPLETE, code, message, true, delivered);
+            return AttemptEnded.terminal(Outcome.INCOMPLETE, code, message, true, delivered);
         }
         return new AttemptEnded(RunResult.ended(Outcome.INCOMPLETE, code, message, true, 0), Next.RETRY);
     }
 
     private byte[] prefill() {
         Set<String> tried = new HashSet<>();
-        for (int i = 0; i < PREFILL_TRIES; i++) {
+        for (int i = 0; i < MAX_PREFILL_ATTEMPTS; i++) {
             Optional<EndpointLink> choice = tried.isEmpty()
                     ? Optional.of(choose(request.model().prefillPool(), tried))
                     : context.fleet()
@@ -273,7 +273,7 @@
             }
             EndpointLink link = choice.get();
             tried.add(link.name());
-            Work work = work(PREFILL_LIMIT_MILLIS, ADMITTED_QUEUE);
+            Work work = work(PREFILL_TIMEOUT_MILLIS, ADMITTED_QUEUE_LENGTH);
             if (!link.begin(new Prefill(id, work, request.body()), inbox, request.promptTokens())) {
                 continue;
             }
@@ -284,25 +284,25 @@
                 return transfer.get();
             }
         }
-        throw broken("prefill-failed", "no endpoint could prefill the prompt");
+        throw failure("prefill-failed", "no endpoint could prefill the prompt");
     }
 
     /** Waits for a prefill to end. Returns nothing when it has to be tried elsewhere. */
     private Optional<byte[]> awaitPrefill(EndpointLink link) {
-        long until = context.timers().now() + PREFILL_LIMIT_MILLIS * NANOS_PER_MILLI;
+        long until = context.timers().now() + PREFILL_TIMEOUT_MILLIS * NANOS_PER_MILLI;
         while (true) {
-            Event event = await(until, "prefill-timeout");
+            AttemptEvent event = await(until, "prefill-timeout");
             if (event.link() == link && event.reply() instanceof Prefilled done) {
-                link.end(id);
-                link.succeeded();
+                link.forget(id);
+                link.recordSuccess();
                 prefilled = true;
                 trace.note("prefilled at " + link.name());
                 return Optional.of(done.transfer());
             }
             if (event.link() == link) {
-                link.end(id);
+                link.forget(id);
                 if (event.reply() instanceof Failed) {
-                    link.failed();
+                    link.recordFailure();
                 }
                 trace.note("prefill ended at " + link.name() + ": "
                         + event.reply().getClass().getSimpleName());
@@ -310,7 +310,7 @@
             }
             EndpointLink booked = decoder;
             if (booked != null) {
-                endIfOver(event, booked);
+                throwIfEnded(event, booked);
             }
         }
     }
@@ -321,16 +321,16 @@
             trace.note("the order to " + link.name() + " waits for its connection");
         }
         while (true) {
-            long until = context.timers().now() + OUTPUT_LIMIT_MILLIS * NANOS_PER_MILLI;
-            Event event = await(until, "output-timeout");
+            long until = context.timers().now() + OUTPUT_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+            AttemptEvent event = await(until, "output-timeout");
             if (event.link() != link) {
                 continue;
             }
             if (event.reply() instanceof Outputs outputs) {
                 deliver(link, outputs);
             } else if (event.reply() instanceof Finished finished && finished.count() == delivered) {
-                link.end(id);
-                link.succeeded();
+                link.forget(id);
+                link.recordSuccess();
                 trace.note("finished after " + delivered + " outputs");
                 return RunResult.answered(finished.reason(), delivered);
             } else if (event.reply() instanceof Finished) {
@@ -339,7 +339,7 @@
                 // Said again after a lost connection, which may have swallowed the order.
                 link.send(order);
             } else {
-                endIfOver(event, link);
+                throwIfEnded(event, link);
             }
         }
     }
@@ -352,10 +352,10 @@
         }
         for (int i = delivered - outputs.first(); i < outputs.texts().size(); i++) {
             if (!sink.output(outputs.texts().get(i))) {
-                throw callerGone();
+                throw callerDisconnected();
             }
             delivered++;
-            inbox.delivered(delivered);
+            inbox.setNextOutput(delivered);
         }
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
@@ -20,7 +20,7 @@
     private final CompletionRequest request;
     private final AnswerSink sink;
     private final Trace trace;
-    private final Set<String> leftOut = new HashSet<>();
+    private final Set<String> excluded = new HashSet<>();
 
     CompletionRun(EntryContext context, CompletionRequest request, AnswerSink sink, Trace trace) {
         this.context = context;
@@ -36,15 +36,15 @@
         boolean admitted = false;
         while (true) {
             CompletionAttempt attempt =
-                    new CompletionAttempt(context, request, sink, trace, id, leftOut, started, admitted);
+                    new CompletionAttempt(context, request, sink, trace, id, excluded, started, admitted);
             try {
                 return attempt.run();
             } catch (AttemptEnded ended) {
-                ran |= attempt.ran();
-                admitted |= attempt.admitted();
+                ran |= attempt.hasRun();
+                admitted |= attempt.wasAdmitted();
                 trace.note(
                         "attempt " + id.number() + " ended: " + ended.result().code());
-                if (!another(ended, id)) {
+                if (!mayRetry(ended, id)) {
                     return report(ended.result(), ran);
                 }
             }
@@ -52,7 +52,7 @@
         }
     }
 
-    private boolean another(AttemptEnded ended, AttemptId id) {
+    private boolean mayRetry(AttemptEnded ended, AttemptId id) {
         if (ended.next() == Next.NONE || id.number() >= MAX_ATTEMPTS) {
             return false;
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
@@ -40,7 +40,7 @@
  * there. Thread-safe.
  *
  * <p>After a lost connection the link resumes its attempts if the same incarnation of the endpoint answers within the
- * lease; otherwise each of them receives {@link Event.Lost}.
+ * lease; otherwise each of them receives {@link AttemptEvent.Lost}.
  *
  * <p>The connection, what is known of the process at its other end, and the attempts in flight there change under one lock:
  * an attempt begun between two of these changes would be settled as one of the process before, and reported lost while it
@@ -50,7 +50,7 @@
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration LOSS_MARGIN = Duration.ofMillis(200);
     /** How often a wait for a connection looks for it: a part of a handshake. */
-    private static final Duration CONNECTION_POLL = Duration.ofMillis(1);
+    private static final Duration CONNECTION_POLL_INTERVAL = Duration.ofMillis(1);
 
     private final Vm vm;
     private final LinkContext context;
@@ -60,14 +60,14 @@
     private final AtomicLong sentCost = new AtomicLong();
     private final AtomicInteger sentCount = new AtomicInteger();
     private final Ejection ejection = new Ejection();
-    private long changes;
+    private long connectionChanges;
     private volatile boolean stopped;
     private volatile @Nullable Connection current;
     private volatile Load load = Load.unknown();
     private volatile long incarnation;
     private volatile boolean leaving;
     private volatile boolean listedLeaving;
-    private volatile @Nullable Set<String> departedKeys;
+    private volatile @Nullable Set<String> keysAtShutdown;
 
     private volatile Optional<Subscription> heartbeats = Optional.empty();
 
@@ -96,8 +96,8 @@
 
     /** Returns the keys that the endpoint had seen when it left, or null when it has not said so. */
     @Nullable
-    Set<String> departedKeys() {
-        return departedKeys;
+    Set<String> keysAtShutdown() {
+        return keysAtShutdown;
     }
 
     /** Returns the incarnation of the endpoint that the link last reached. */
@@ -105,7 +105,7 @@
         return incarnation;
     }
 
-    void listed(boolean nowLeaving) {
+    void setListedLeaving(boolean nowLeaving) {
         listedLeaving = nowLeaving;
     }
 
@@ -116,13 +116,13 @@
                 && worthwhile.getAsBoolean()
                 && System.nanoTime() - end < 0
                 && !Thread.currentThread().isInterrupted()) {
-            LockSupport.parkNanos(CONNECTION_POLL.toNanos());
+            LockSupport.parkNanos(CONNECTION_POLL_INTERVAL.toNanos());
         }
         return connected();
     }
 
     /** What an effort to connect has shown of the endpoint's process. */
-    enum Reach {
+    enum Reachability {
         /** There is a connection. */
         CONNECTED,
         /** No process answered at its address at some moment since the effort began. */
@@ -134,7 +134,7 @@
     }
 
     /** Finds out at once whether the endpoint's process is up, instead of when the link would dial next. */
-    Reach reach(Duration limit) {
+    Reachability checkReachability(Duration limit) {
         long before = dialer.refusals();
         // The first refusal may answer an attempt that was made before.
         BooleanSupplier undecided = () -> dialer.refusals() - before < 2;
@@ -143,12 +143,12 @@
             return !stopped && undecided.getAsBoolean();
         });
         if (connected) {
-            return Reach.CONNECTED;
+            return Reachability.CONNECTED;
         }
         if (stopped) {
-            return Reach.DROPPED;
+            return Reachability.DROPPED;
         }
-        return undecided.getAsBoolean() ? Reach.UNKNOWN : Reach.DOWN;
+        return undecided.getAsBoolean() ? Reachability.UNKNOWN : Reachability.DOWN;
     }
 
     boolean connected() {
@@ -157,31 +157,31 @@
     }
 
     /** Returns whether no connection has been made yet, as to an endpoint that has just been listed. */
-    boolean opening() {
+    boolean neverConnected() {
         return incarnation == 0;
     }
 
-    boolean isLeaving() {
+    boolean isDraining() {
         return leaving || listedLeaving || load.leaving();
     }
 
     /** Returns whether new work may be sent there. */
-    boolean usable() {
+    boolean isUsable() {
         synchronized (ejection) {
             if (ejection.isEjected(context.timers().now())) {
                 return false;
             }
         }
-        return connected() && !isLeaving();
+        return connected() && !isDraining();
     }
 
-    void succeeded() {
+    void recordSuccess() {
         synchronized (ejection) {
             ejection.recordSuccess();
         }
     }
 
-    void failed() {
+    void recordFailure() {
         synchronized (ejection) {
             ejection.recordFailure(context.timers().now());
         }
@@ -234,7 +234,7 @@
     }
 
     /** Sends what concerns no attempt, if there is a connection. */
-    void tell(Message message) {
+    void sendOutsideAttempt(Message message) {
         synchronized (lock) {
             sendNow(message);
         }
@@ -246,7 +246,7 @@
     }
 
     /** Takes no more interest in an attempt that has ended there. */
-    void end(AttemptId id) {
+    void forget(AttemptId id) {
         synchronized (lock) {
             inFlight.remove(id);
         }
@@ -278,11 +278,11 @@
             if (stopped) {
                 return;
             }
-            changes++;
+            connectionChanges++;
             if (process == incarnation) {
                 inFlight.forEach((id, inbox) -> connection.send(new Resume(id, inbox.nextOutput())));
             } else {
-                forgetProcess();
+                resetProcessState();
             }
             current = connection;
             incarnation = process;
@@ -292,11 +292,11 @@
     }
 
     /** Settles what the process before had, and drops what it had said of itself. */
-    private void forgetProcess() {
+    private void resetProcessState() {
         leaving = false;
-        departedKeys = null;
-        takeLoad(Load.unknown());
-        loseAll();
+        keysAtShutdown = null;
+        updateLoad(Load.unknown());
+        reportAllLost();
     }
 
     @Override
@@ -307,79 +307,79 @@
             if (current == connection) {
                 current = null;
             }
-            change = ++changes;
+            change = ++connectionChanges;
             left = inFlight.size();
         }
-        context.timers().after(context.timing().lease().plus(LOSS_MARGIN), () -> loseUnlessChanged(change));
+        context.timers().after(context.timing().lease().plus(LOSS_MARGIN), () -> reportLostUnlessChanged(change));
         logger.atInfo().log("event=link-closed endpoint=%s in_flight=%d", vm.name(), left);
     }
 
-    private void loseUnlessChanged(long change) {
+    private void reportLostUnlessChanged(long change) {
         synchronized (lock) {
-            if (changes == change) {
-                loseAll();
+            if (connectionChanges == change) {
+                reportAllLost();
             }
         }
     }
 
-    private void loseAll() {
-        inFlight.forEach((id, inbox) -> inbox.add(new Event(this, new Event.Lost(id))));
+    private void reportAllLost() {
+        inFlight.forEach((id, inbox) -> inbox.add(new AttemptEvent(this, new AttemptEvent.Lost(id))));
         inFlight.clear();
     }
 
     @Override
     public void received(Connection connection, Message message) {
         if (message instanceof AttemptReply reply) {
-            takeReply(connection, reply);
+            handleReply(connection, reply);
         } else if (message instanceof HeartbeatAck ack) {
-            takeLoad(connection, ack.load());
-            context.site().compare(this, ack);
+            updateLoad(connection, ack.load());
+            context.site().reconcile(this, ack);
         } else if (message instanceof SiteState state) {
             context.site().offer(state);
         } else if (message instanceof Leaving notice) {
-            takeLeaving(connection, notice);
+            handleLeaving(connection, notice);
         }
     }
 
     /** Returns whether a message comes from the process that the link last reached, not late from the one before. */
-    private boolean fromProcess(Connection connection) {
+    private boolean isFromCurrentProcess(Connection connection) {
         return connection.peer().incarnation() == incarnation;
     }
 
-    private void takeReply(Connection connection, AttemptReply reply) {
+    private void handleReply(Connection connection, AttemptReply reply) {
         synchronized (lock) {
-            if (!fromProcess(connection)) {
+            if (!isFromCurrentProcess(connection)) {
                 return;
             }
-            takeLoad(reply.load());
+            updateLoad(reply.load());
             Inbox inbox = inFlight.get(reply.attempt());
             if (inbox != null) {
-                inbox.add(new Event(this, reply));
+                inbox.add(new AttemptEvent(this, reply));
             }
         }
     }
 
-    private void takeLoad(Connection connection, Load reported) {
+    private void updateLoad(Connection connection, Load reported) {
         synchronized (lock) {
-            if (fromProcess(connection)) {
-                takeLoad(reported);
+            if (isFromCurrentProcess(connection)) {
+                updateLoad(reported);
             }
         }
     }
 
-    private void takeLoad(Load reported) {
+    private void updateLoad(Load reported) {
         load = reported;
         sentCost.set(0);
         sentCount.set(0);
     }
 
-    private void takeLeaving(Connection connection, Leaving notice) {
+    private void handleLeaving(Connection connection, Leaving notice) {
         synchronized (lock) {
-            if (!fromProcess(connection)) {
+            if (!isFromCurrentProcess(connection)) {
                 return;
             }
             leaving = true;
-            departedKeys = Set.copyOf(notice.keys());
+            keysAtShutdown = Set.copyOf(notice.keys());
             sendNow(new LeavingHeard());
         }
         context.poolChanged().accept(vm.pool());
@@ -391,7 +391,7 @@
         heartbeats.ifPresent(Subscription::cancel);
         synchronized (lock) {
             stopped = true;
-            loseAll();
+            reportAllLost();
         }
         dialer.stop();
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
@@ -60,8 +60,8 @@
                 timers,
                 settings.timing(),
                 site,
-                pool -> fleet.history(pool).touched(timers.now()));
-        this.fleet.connect(links);
+                pool -> fleet.history(pool).recordChange(timers.now()));
+        this.fleet.setLinkContext(links);
         this.members = new MemberWatch(store, site, settings.name());
         this.context =
                 new EntryContext(settings, fleet, site, members, new RetryBudget(RETRY_RATIO), metrics, traces, timers);
@@ -91,8 +91,8 @@
     }
 
     /** Returns the number of entry processes that share the site's limits. */
-    public int entries() {
-        return fleet.entries();
+    public int entryCount() {
+        return fleet.entryCount();
     }
 
     /** Runs a completion and returns how it ended. Blocks until then; outputs go to the sink meanwhile. */
@@ -133,14 +133,14 @@
     }
 
     private EntryStatus.Peer peer(Vm vm) {
-        Optional<EndpointLink> link = fleet.pool(vm.pool()).stream()
+        Optional<EndpointLink> link = fleet.linksToPool(vm.pool()).stream()
                 .filter(candidate -> candidate.name().equals(vm.name()))
                 .findFirst();
         return new EntryStatus.Peer(
                 vm.name(),
                 vm.pool(),
                 link.map(EndpointLink::connected).orElse(false),
-                link.map(EndpointLink::isLeaving).orElse(vm.leaving()));
+                link.map(EndpointLink::isDraining).orElse(vm.leaving()));
     }
 
     @Override
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
@@ -30,9 +30,9 @@
     /** Most endpoints of one pool that an entry links to. */
     static final int LINKS_PER_POOL = 32;
 
-    private static final long RETURN_POLL_MILLIS = 20;
+    private static final long USABLE_POLL_MILLIS = 20;
     /** How long after a return of the store from an older copy nobody counts as off the list: who is there is listed again within two seconds. */
-    private static final Duration LISTED_AGAIN = Duration.ofMillis(2_500);
+    private static final Duration RELISTING_WAIT = Duration.ofMillis(2_500);
 
     private final String self;
     private final String zone;
@@ -42,9 +42,9 @@
     private @Nullable LinkContext context;
     private MemberList newest = new MemberList(0, List.of());
     /** Who was listed when the store came back; empty when that is long past. */
-    private List<Vm> before = List.of();
+    private List<Vm> listedBeforeRestore = List.of();
 
-    private int entries = 1;
+    private int entryCount = 1;
     private boolean stopped;
 
     Fleet(String self, String zone, Placement placement) {
@@ -54,7 +54,7 @@
     }
 
     /** Gives the fleet what its links share. To be called once, before the first list of VMs arrives. */
-    synchronized void connect(LinkContext shared) {
+    synchronized void setLinkContext(LinkContext shared) {
         context = shared;
     }
 
@@ -68,8 +68,8 @@
         LinkContext shared = context;
         if (shared != null && era(members) > era(newest) && !newest.vms().isEmpty()) {
             long era = era(members);
-            before = listed();
-            shared.timers().after(LISTED_AGAIN, () -> forgetBefore(era));
+            listedBeforeRestore = listed();
+            shared.timers().after(RELISTING_WAIT, () -> forgetListBeforeRestore(era));
         }
         newest = members;
         apply();
@@ -79,9 +79,9 @@
         return StorePosition.ofNumber(members.version()).era();
     }
 
-    private synchronized void forgetBefore(long era) {
+    private synchronized void forgetListBeforeRestore(long era) {
         if (era == era(newest)) {
-            before = List.of();
+            listedBeforeRestore = List.of();
             apply();
         }
     }
@@ -89,7 +89,7 @@
     /** Returns the newest list, with those who were on it when the store came back. */
     synchronized List<Vm> listed() {
         Map<String, Vm> vms = new LinkedHashMap<>();
-        before.forEach(vm -> vms.put(vm.name(), vm));
+        listedBeforeRestore.forEach(vm -> vms.put(vm.name(), vm));
         newest.vms().forEach(vm -> vms.put(vm.name(), vm));
         return List.copyOf(vms.values());
     }
@@ -112,9 +112,9 @@
             subset(ofPool).forEach(vm -> wanted.put(vm.name(), vm));
             pools.computeIfAbsent(pool, unused -> new PoolHistory()).update(ofPool, now);
         });
-        drop(wanted, now);
+        dropUnwanted(wanted, now);
         wanted.values().forEach(vm -> link(vm, shared));
-        entries = (int) vms.stream()
+        entryCount = (int) vms.stream()
                 .filter(vm -> vm.role() == Role.ENTRY && !vm.leaving())
                 .count();
     }
@@ -125,7 +125,7 @@
         return vms.stream().filter(vm -> chosen.contains(vm.name())).toList();
     }
 
-    private void drop(Map<String, Vm> wanted, long now) {
+    private void dropUnwanted(Map<String, Vm> wanted, long now) {
         List<String> gone = links.values().stream()
                 .filter(link -> !sameAddress(link.vm(), wanted.get(link.name())))
                 .map(EndpointLink::name)
@@ -135,7 +135,7 @@
             if (link != null) {
                 PoolHistory history = pools.get(link.vm().pool());
                 if (history != null) {
-                    history.departed(link, now);
+                    history.recordRemoval(link, now);
                 }
                 link.stop();
             }
@@ -152,7 +152,7 @@
     private void link(Vm vm, LinkContext shared) {
         EndpointLink known = links.get(vm.name());
         if (known != null) {
-            known.listed(vm.leaving());
+            known.setListedLeaving(vm.leaving());
             return;
         }
         EndpointLink link = new EndpointLink(vm, shared);
@@ -161,12 +161,12 @@
     }
 
     /** Returns the number of entry processes that share the site's limits. */
-    synchronized int entries() {
-        return Math.max(1, entries);
+    synchronized int entryCount() {
+        return Math.max(1, entryCount);
     }
 
     /** Returns the links to a pool, in the order of their names. */
-    synchronized List<EndpointLink> pool(String pool) {
+    synchronized List<EndpointLink> linksToPool(String pool) {
         return links.values().stream()
                 .filter(link -> link.vm().pool().equals(pool))
                 .sorted(Comparator.comparing(EndpointLink::name))
@@ -174,8 +174,8 @@
     }
 
     /** Returns whether the entry is linked to every listed endpoint of a pool. */
-    synchronized boolean linksWholePool(String pool) {
-        return history(pool).listed() <= LINKS_PER_POOL;
+    synchronized boolean isLinkedToWholePool(String pool) {
+        return history(pool).listedCount() <= LINKS_PER_POOL;
     }
 
     /** Returns what is known of a pool's past members. */
@@ -185,8 +185,8 @@
 
     /** Chooses an endpoint of a pool that takes new work, leaving some out. */
     Optional<EndpointLink> choose(WorkClass workClass, String pool, long affinity, Set<String> leftOut) {
-        List<EndpointLink> usable = pool(pool).stream()
-                .filter(EndpointLink::usable)
+        List<EndpointLink> usable = linksToPool(pool).stream()
+                .filter(EndpointLink::isUsable)
                 .filter(link -> !leftOut.contains(link.name()))
                 .toList();
         if (usable.isEmpty()) {
@@ -212,14 +212,14 @@
                     || Thread.currentThread().isInterrupted()) {
                 return link;
             }
-            LockSupport.parkNanos(Duration.ofMillis(RETURN_POLL_MILLIS).toNanos());
+            LockSupport.parkNanos(Duration.ofMillis(USABLE_POLL_MILLIS).toNanos());
         }
     }
 
     /** Returns the milliseconds that a prompt is expected to take in a pool, from waiting to the end of its prefill. */
-    long expectedMillis(String pool, int promptTokens) {
-        return pool(pool).stream()
-                .filter(EndpointLink::usable)
+    long expectedPrefillMillis(String pool, int promptTokens) {
+        return linksToPool(pool).stream()
+                .filter(EndpointLink::isUsable)
                 .mapToLong(link -> {
                     Load load = link.load();
                     long own = promptTokens
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/Inbox.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/Inbox.java
@@ -6,16 +6,16 @@
 
 /** What has arrived for one attempt and was not yet looked at. Thread-safe. */
 final class Inbox {
-    private final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<AttemptEvent> events = new LinkedBlockingQueue<>();
     private volatile int nextOutput;
 
-    void add(Event event) {
+    void add(AttemptEvent event) {
         events.add(event);
     }
 
     /** Waits for the next event; returns null when there was none in time. */
     @Nullable
-    Event poll(long millis) {
+    AttemptEvent poll(long millis) {
         try {
             return events.poll(millis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -29,7 +29,7 @@
         return nextOutput;
     }
 
-    void delivered(int next) {
+    void setNextOutput(int next) {
         nextOutput = next;
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.core.attempt.AttemptId;
-import org.quetzalseam.daemon.entry.EndpointLink.Reach;
+import org.quetzalseam.daemon.entry.EndpointLink.Reachability;
 import org.quetzalseam.wire.message.FenceKey;
 import org.quetzalseam.wire.message.KeyFenced;
 
@@ -30,9 +30,9 @@
     private static final Duration CONNECTION_WAIT = Duration.ofMillis(500);
 
     /** How often connections that a question is on are looked at. */
-    private static final Duration CLOSED_LOOK = Duration.ofMillis(10);
+    private static final Duration DISCONNECT_POLL_INTERVAL = Duration.ofMillis(10);
 
-    private static final int MAX_TRIES = 3;
+    private static final int MAX_SEND_ATTEMPTS = 3;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /** What is known of the key. */
@@ -46,7 +46,7 @@
     }
 
     /** Why an inquiry can't tell. */
-    private enum Doubt {
+    private enum UnknownReason {
         /** The newest list of VMs could not be read. */
         LIST_UNREADABLE,
         /** The pool is larger than what the entry is linked to. */
@@ -76,12 +76,12 @@
     private final long mintedAtMillis;
     private final AttemptId id;
     private final long retentionNanos;
-    private final Set<EndpointLink> met = new HashSet<>();
+    private final Set<EndpointLink> considered = new HashSet<>();
     private final Set<EndpointLink> asked = new LinkedHashSet<>();
     private final Set<EndpointLink> askedAgain = new HashSet<>();
     private final Set<EndpointLink> unanswered = new LinkedHashSet<>();
     private final List<EndpointLink> absent = new ArrayList<>();
-    private final Set<EndpointLink> maybeBack = new HashSet<>();
+    private final Set<EndpointLink> maybeRestarted = new HashSet<>();
     private final Inbox inbox = new Inbox();
     private final long startedAt;
 
@@ -106,32 +106,33 @@
     /** Asks everybody on the newest list of VMs, which is read for this purpose. */
     Finding inquire() {
         if (!context.members().refresh()) {
-            return unknown(Doubt.LIST_UNREADABLE);
+            return unknown(UnknownReason.LIST_UNREADABLE);
         }
-        if (!context.fleet().linksWholePool(pool)) {
-            return unknown(Doubt.POOL_NOT_LINKED);
+        if (!context.fleet().isLinkedToWholePool(pool)) {
+            return unknown(UnknownReason.POOL_NOT_LINKED);
         }
-        absent.addAll(departed());
+        absent.addAll(removedEndpoints());
         askAll();
         // Who was dropped before it could be met is not among those asked.
-        departed().stream()
-                .filter(link -> !met.contains(link) && !absent.contains(link))
+        removedEndpoints().stream()
+                .filter(link -> !considered.contains(link) && !absent.contains(link))
                 .forEach(absent::add);
-        Finding finding = collect();
-        asked.forEach(link -> link.end(id));
-        if (finding.answer() == Answer.NEVER_SEEN && !absent.stream().allMatch(link -> denied(link.departedKeys()))) {
-            return unknown(Doubt.ABSENT_WITHOUT_WORD);
+        Finding finding = awaitAnswers();
+        asked.forEach(link -> link.forget(id));
+        if (finding.answer() == Answer.NEVER_SEEN
+                && !absent.stream().allMatch(link -> reportsUnseen(link.keysAtShutdown()))) {
+            return unknown(UnknownReason.ABSENT_WITHOUT_WORD);
         }
-        if (finding.answer() == Answer.NEVER_SEEN && !maybeBack.isEmpty()) {
-            return unknown(Doubt.LEFT_AND_MAYBE_BACK);
+        if (finding.answer() == Answer.NEVER_SEEN && !maybeRestarted.isEmpty()) {
+            return unknown(UnknownReason.LEFT_AND_MAYBE_BACK);
         }
         return finding;
     }
 
-    private List<EndpointLink> departed() {
+    private List<EndpointLink> removedEndpoints() {
         return context.fleet()
                 .history(pool)
-                .departedWithin(retentionNanos, context.timers().now());
+                .removedWithin(retentionNanos, context.timers().now());
     }
 
     /** Asks also who is listed anew meanwhile, as an endpoint is that comes back at another address. */
@@ -139,8 +140,8 @@
         boolean asking = true;
         while (asking) {
             asking = false;
-            for (EndpointLink link : context.fleet().pool(pool)) {
-                if (!link.name().equals(holder.name()) && met.add(link)) {
+            for (EndpointLink link : context.fleet().linksToPool(pool)) {
+                if (!link.name().equals(holder.name()) && considered.add(link)) {
                     asking = true;
                     unanswered.add(link);
                     ask(link);
@@ -150,20 +151,20 @@
     }
 
     private void ask(EndpointLink link) {
-        Reach reach = reach(link);
-        for (int tries = 1; reach == Reach.CONNECTED; tries++) {
+        Reachability reach = awaitReachability(link);
+        for (int tries = 1; reach == Reachability.CONNECTED; tries++) {
             if (link.begin(new FenceKey(id, key, mintedAtMillis), inbox, 0)) {
                 asked.add(link);
                 return;
             }
             // The connection closed in between; what is there now is to be seen again.
-            reach = tries < MAX_TRIES ? reach(link) : Reach.UNKNOWN;
+            reach = tries < MAX_SEND_ATTEMPTS ? awaitReachability(link) : Reachability.UNKNOWN;
         }
         asked.remove(link);
         unanswered.remove(link);
         absent.add(link);
-        if (reach == Reach.UNKNOWN) {
-            maybeBack.add(link);
+        if (reach == Reachability.UNKNOWN) {
+            maybeRestarted.add(link);
         }
     }
 
@@ -172,16 +173,16 @@
      * at its address may have seen the key since, and the link dials it late. Whether it is down, or up, may take as long to show as a
      * process that isn't heard counts as there; one without a word leaves the key in doubt either way, and is not waited for so long.
      */
-    private Reach reach(EndpointLink link) {
-        boolean connected = link.awaitConnected(CONNECTION_WAIT, () -> link.departedKeys() == null);
+    private Reachability awaitReachability(EndpointLink link) {
+        boolean connected = link.awaitConnected(CONNECTION_WAIT, () -> link.keysAtShutdown() == null);
         if (connected) {
-            return Reach.CONNECTED;
+            return Reachability.CONNECTED;
         }
-        return link.reach(link.departedKeys() == null ? CONNECTION_WAIT : restOfLease());
+        return link.checkReachability(link.keysAtShutdown() == null ? CONNECTION_WAIT : remainingLease());
     }
 
     /** Returns what is left of one lease, which all links share, but time to connect in any case. */
-    private Duration restOfLease() {
+    private Duration remainingLease() {
         Duration rest = lease().minusNanos(context.timers().now() - startedAt);
         return rest.compareTo(CONNECTION_WAIT) > 0 ? rest : CONNECTION_WAIT;
     }
@@ -190,7 +191,7 @@
         return context.settings().timing().lease();
     }
 
-    private Finding unknown(Doubt doubt) {
+    private Finding unknown(UnknownReason doubt) {
         logger.atInfo().log(
                 "event=key-inquiry-in-doubt request=%s holder=%s reason=%s asked=%s unanswered=%s absent=%s age_ms=%d",
                 id.requestId(),
@@ -203,7 +204,7 @@
         return new Finding(Answer.UNKNOWN, Optional.empty());
     }
 
-    private static String label(Doubt doubt) {
+    private static String label(UnknownReason doubt) {
         return doubt.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
@@ -211,7 +212,7 @@
         return links.stream().map(EndpointLink::name).collect(Collectors.joining(","));
     }
 
-    private boolean denied(@Nullable Set<String> seen) {
+    private boolean reportsUnseen(@Nullable Set<String> seen) {
         return seen != null && !seen.contains(key);
     }
 
@@ -219,12 +220,12 @@
      * Puts the question again where its connection has closed. It would be reported lost after a lease, as other orders are that may have been
      * carried out; to bar a key twice is the same as once, and an endpoint that stops as planned leaves the question unanswered.
      */
-    private void askWhereClosed() {
+    private void askAgainWhereDisconnected() {
         List<EndpointLink> closed =
                 unanswered.stream().filter(link -> !link.connected()).toList();
         for (EndpointLink link : closed) {
             if (askedAgain.add(link)) {
-                link.end(id);
+                link.forget(id);
                 ask(link);
                 askAll();
             }
@@ -232,16 +233,16 @@
     }
 
     /** Waits for the answers, for a lease: one that is connected and silent for longer counts as gone elsewhere too. */
-    private Finding collect() {
+    private Finding awaitAnswers() {
         long until = context.timers().now() + lease().toNanos();
         while (!unanswered.isEmpty()) {
             long left = (until - context.timers().now()) / NANOS_PER_MILLI;
-            Event event = inbox.poll(Math.max(0, Math.min(left, CLOSED_LOOK.toMillis())));
+            AttemptEvent event = inbox.poll(Math.max(0, Math.min(left, DISCONNECT_POLL_INTERVAL.toMillis())));
             if (event == null && left <= 0) {
-                return unknown(Doubt.NO_ANSWER_IN_TIME);
+                return unknown(UnknownReason.NO_ANSWER_IN_TIME);
             }
             if (event == null) {
-                askWhereClosed();
+                askAgainWhereDisconnected();
                 continue;
             }
             if (event.reply() instanceof KeyFenced fenced) {
@@ -254,7 +255,7 @@
                 ask(event.link());
                 askAll();
             } else {
-                return unknown(Doubt.ASKED_AND_LOST);
+                return unknown(UnknownReason.ASKED_AND_LOST);
             }
         }
         return new Finding(Answer.NEVER_SEEN, Optional.empty());
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
@@ -11,7 +11,7 @@
 import org.quetzalseam.core.keyed.KeyTimestamp;
 import org.quetzalseam.core.placement.Rendezvous;
 import org.quetzalseam.daemon.catalogue.Digests;
-import org.quetzalseam.daemon.entry.EndpointLink.Reach;
+import org.quetzalseam.daemon.entry.EndpointLink.Reachability;
 import org.quetzalseam.daemon.entry.KeyInquiry.Finding;
 import org.quetzalseam.daemon.entry.TraceLog.Trace;
 import org.quetzalseam.wire.message.Answer;
@@ -29,7 +29,7 @@
 final class KeyedRun {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     /** How long a call waits for a connection to its key's holder: tens of handshakes in one region. */
-    private static final Duration OPENING_WAIT = Duration.ofSeconds(1);
+    private static final Duration CONNECTION_WAIT = Duration.ofSeconds(1);
 
     private static final int MAX_ATTEMPTS = 6;
     private static final int KEY_DIGITS = 32;
@@ -42,7 +42,7 @@
     private final String key;
     private final String fingerprint;
     private final long mintedAt;
-    private final Set<String> leftOut = new HashSet<>();
+    private final Set<String> excluded = new HashSet<>();
     private AttemptId id;
 
     KeyedRun(EntryContext context, ServiceRequest request, ServiceAttempt attempts, Trace trace, String rawKey) {
@@ -66,7 +66,7 @@
                 return unknown("no-endpoint", "no endpoint of the service takes work");
             }
             EndpointLink link = holder.get();
-            if (!connected(link)) {
+            if (!isReachable(link)) {
                 Optional<EndpointLink> now = holder();
                 if (now.equals(holder)) {
                     return unreachable(link);
@@ -78,7 +78,7 @@
             }
             long incarnation = link.incarnation();
             AttemptReply reply = attempts.call(
-                    link, id, use(fencedFor), request.entry().limits().queueWaitMillis());
+                    link, id, keyUse(fencedFor), request.entry().limits().queueWaitMillis());
             trace.note("attempt " + id.number() + " at key holder " + link.name() + ": "
                     + reply.getClass().getSimpleName());
             if (reply instanceof Answer answer) {
@@ -105,7 +105,7 @@
                 fencedFor = finding.answer() == KeyInquiry.Answer.NEVER_SEEN ? incarnation : 0;
                 holder = finding.seenAt().or(() -> Optional.of(link));
             } else if (reason == RefusalReason.LEAVING || reason == RefusalReason.SEALED) {
-                leftOut.add(link.name());
+                excluded.add(link.name());
                 fencedFor = 0;
                 holder = holder();
             } else if (reason == RefusalReason.OLD_MEMBERS && context.members().refresh()) {
@@ -121,7 +121,7 @@
     private ServiceResult unreachable(EndpointLink holder) {
         logger.atInfo().log(
                 "event=key-holder-not-connected request=%s holder=%s reached_before=%s",
-                id.requestId(), holder.name(), !holder.opening());
+                id.requestId(), holder.name(), !holder.neverConnected());
         return unknown("key-holder-unreachable", "the endpoint that would know the key can't be reached");
     }
 
@@ -130,8 +130,9 @@
      * listed before; one whose connection was cut is dialled, and is out of reach as soon as that shows it to be down. Nothing is sent
      * meanwhile, so the wait proves and spoils nothing.
      */
-    private static boolean connected(EndpointLink link) {
-        return link.awaitConnected(OPENING_WAIT, link::opening) || link.reach(OPENING_WAIT) == Reach.CONNECTED;
+    private static boolean isReachable(EndpointLink link) {
+        return link.awaitConnected(CONNECTION_WAIT, link::neverConnected)
+                || link.checkReachability(CONNECTION_WAIT) == Reachability.CONNECTED;
     }
 
     private KeyInquiry inquiry(EndpointLink holder) {
@@ -141,8 +142,11 @@
 
     /** Returns the endpoint that holds the key among those that aren't leaving. */
     private Optional<EndpointLink> holder() {
-        List<EndpointLink> members = context.fleet().pool(request.service().pool()).stream()
-                .filter(link -> !link.isLeaving() && !leftOut.contains(link.name()))
+        List<EndpointLink> members = context
+                .fleet()
+                .linksToPool(request.service().pool())
+                .stream()
+                .filter(link -> !link.isDraining() && !excluded.contains(link.name()))
                 .toList();
         if (members.isEmpty()) {
             return Optional.empty();
@@ -151,10 +155,10 @@
         return Optional.of(members.get(Rendezvous.top(names, Rendezvous.hash(key))));
     }
 
-    private KeyUse use(long fencedFor) {
+    private KeyUse keyUse(long fencedFor) {
         long now = context.timers().now();
         // An endpoint that says it leaves may be known to this entry only through the refusal just received.
-        long unchanged = leftOut.isEmpty()
+        long unchanged = excluded.isEmpty()
                 ? context.fleet().history(request.service().pool()).unchangedMillis(now)
                 : 0;
         return new KeyUse(key, fingerprint, mintedAt, unchanged, context.site().membersVersion(), fencedFor);
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/MemberWatch.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/MemberWatch.java
@@ -14,8 +14,8 @@
     private final ObjectStore store;
     private final SiteSync site;
     private final WatchLoop loop;
-    private long lastBegan;
-    private boolean refreshed;
+    private long lastReadStartedAt;
+    private boolean lastReadSucceeded;
 
     MemberWatch(ObjectStore store, SiteSync site, String processName) {
         this.store = store;
@@ -39,18 +39,18 @@
     boolean refresh() {
         long asked = System.nanoTime();
         synchronized (this) {
-            if (refreshed && lastBegan - asked > 0) {
+            if (lastReadSucceeded && lastReadStartedAt - asked > 0) {
                 return true;
             }
-            lastBegan = System.nanoTime();
+            lastReadStartedAt = System.nanoTime();
             try {
                 site.offerMembers(store.members(0, Duration.ZERO));
-                refreshed = true;
+                lastReadSucceeded = true;
             } catch (StoreException e) {
                 logger.atFine().log("event=member-read-failed reason=\"%s\"", e.getMessage());
-                refreshed = false;
+                lastReadSucceeded = false;
             }
-            return refreshed;
+            return lastReadSucceeded;
         }
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/PoolHistory.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/PoolHistory.java
@@ -17,53 +17,54 @@
      * An endpoint that has left.
      *
      * @param link the endpoint
-     * @param at when it left the list
+     * @param removedAt when it left the list
      */
-    record Departed(EndpointLink link, long at) {}
+    record RemovedEndpoint(EndpointLink link, long removedAt) {}
 
     private Set<String> members = new HashSet<>();
-    private int listed;
+    private int listedCount;
     private long changedAt;
-    private boolean known;
-    private final Map<String, Departed> departed = new HashMap<>();
+    private boolean hasChanged;
+    private final Map<String, RemovedEndpoint> removed = new HashMap<>();
 
     /** Takes note of the pool's members. The first list that a process reads counts as a change, for it knows no past. */
     synchronized void update(List<Vm> vms, long now) {
-        listed = vms.size();
+        listedCount = vms.size();
         Set<String> names = new HashSet<>();
         vms.stream().filter(vm -> !vm.leaving()).forEach(vm -> names.add(vm.name()));
-        if (!known || !names.equals(members)) {
-            known = true;
+        if (!hasChanged || !names.equals(members)) {
+            hasChanged = true;
             changedAt = now;
             members = names;
         }
     }
 
     /** Takes note that the pool has changed in a way that the list of VMs doesn't show yet. */
-    synchronized void touched(long now) {
-        known = true;
+    synchronized void recordChange(long now) {
+        hasChanged = true;
         changedAt = now;
     }
 
-    synchronized void departed(EndpointLink link, long now) {
-        departed.put(link.name(), new Departed(link, now));
+    synchronized void recordRemoval(EndpointLink link, long now) {
+        removed.put(link.name(), new RemovedEndpoint(link, now));
     }
 
     /** Returns how many endpoints of the pool are on the list. */
-    synchronized int listed() {
-        return listed;
+    synchronized int listedCount() {
+        return listedCount;
     }
 
     /** Returns how long the members have been the same, in milliseconds. */
     synchronized long unchangedMillis(long now) {
-        return known ? (now - changedAt) / 1_000_000 : 0;
+        return hasChanged ? (now - changedAt) / 1_000_000 : 0;
     }
 
     /** Returns who has left within the given time and has not come back. */
-    synchronized List<EndpointLink> departedWithin(long nanos, long now) {
-        departed.values()
-                .removeIf(gone ->
-                        now - gone.at() > nanos || members.contains(gone.link().name()));
-        return new ArrayList<>(departed.values().stream().map(Departed::link).toList());
+    synchronized List<EndpointLink> removedWithin(long nanos, long now) {
+        removed.values()
+                .removeIf(gone -> now - gone.removedAt() > nanos
+                        || members.contains(gone.link().name()));
+        return new ArrayList<>(
+                removed.values().stream().map(RemovedEndpoint::link).toList());
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/SeedInquiry.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/SeedInquiry.java
@@ -31,7 +31,7 @@
                         context.key(),
                         context.transport(),
                         context.timers(),
-                        new Asking(context.site())))
+                        new StateRequester(context.site())))
                 .toList();
     }
 
@@ -40,7 +40,7 @@
         dialers.forEach(Dialer::start);
     }
 
-    private record Asking(SiteSync site) implements Dialer.Listener {
+    private record StateRequester(SiteSync site) implements Dialer.Listener {
         @Override
         public void opened(Connection connection) {
             connection.send(new FetchState());
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceAttempt.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceAttempt.java
@@ -17,8 +17,8 @@
 
 /** Makes one attempt at a service call and finds out what became of it. Used by one thread. */
 final class ServiceAttempt {
-    private static final long GRACE_MILLIS = 1_000;
-    private static final long SEAL_MILLIS = 1_000;
+    private static final long REPLY_MARGIN_MILLIS = 1_000;
+    private static final long SEAL_TIMEOUT_MILLIS = 1_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final EntryContext context;
@@ -37,7 +37,7 @@
      * @param key how it uses an idempotency key
      * @param waitMillis longest wait in the endpoint's queue
      * @return {@link Answer}, {@link Refused} when it was proved not to have run, {@link Failed} when it may have run, or
-     *     {@link Event.Lost} when the endpoint is lost and nothing can be proved
+     *     {@link AttemptEvent.Lost} when the endpoint is lost and nothing can be proved
      */
     AttemptReply call(EndpointLink link, AttemptId id, KeyUse key, long waitMillis) {
         Inbox inbox = new Inbox();
@@ -64,9 +64,9 @@
             return new Refused(id, RefusalReason.SEALED, 0, Load.unknown());
         }
         try {
-            return await(link, id, inbox, waitMillis + request.deadlineMillis() + GRACE_MILLIS);
+            return await(link, id, inbox, waitMillis + request.deadlineMillis() + REPLY_MARGIN_MILLIS);
         } finally {
-            link.end(id);
+            link.forget(id);
         }
     }
 
@@ -75,8 +75,8 @@
         boolean sealing = false;
         while (true) {
             long left = (until - context.timers().now()) / NANOS_PER_MILLI;
-            Event event = inbox.poll(Math.max(0, left));
-            if (event != null && isLast(event.reply())) {
+            AttemptEvent event = inbox.poll(Math.max(0, left));
+            if (event != null && isFinal(event.reply())) {
                 return event.reply();
             }
             if (event != null && event.reply() instanceof SealAnswer sealed) {
@@ -87,17 +87,17 @@
             }
             if (event == null) {
                 sealing = true;
-                until = context.timers().now() + SEAL_MILLIS * NANOS_PER_MILLI;
+                until = context.timers().now() + SEAL_TIMEOUT_MILLIS * NANOS_PER_MILLI;
                 link.send(new Seal(id));
             }
         }
     }
 
-    private static boolean isLast(AttemptReply reply) {
+    private static boolean isFinal(AttemptReply reply) {
         return reply instanceof Answer
                 || reply instanceof Refused
                 || reply instanceof Failed
-                || reply instanceof Event.Lost;
+                || reply instanceof AttemptEvent.Lost;
     }
 
     private static AttemptReply afterSeal(AttemptId id, SealAnswer sealed) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRun.java
@@ -28,7 +28,7 @@
     private final EntryContext context;
     private final ServiceRequest request;
     private final Trace trace;
-    private final Set<String> leftOut = new HashSet<>();
+    private final Set<String> excluded = new HashSet<>();
     private final ServiceAttempt attempts;
     private final long started;
     private boolean mayHaveRun;
@@ -51,16 +51,16 @@
             if (link.isEmpty()) {
                 return noEndpoint();
             }
-            AttemptReply reply = attempts.call(link.get(), id, KeyUse.none(), waitLeft());
+            AttemptReply reply = attempts.call(link.get(), id, KeyUse.none(), remainingWaitMillis());
             trace.note("attempt " + id.number() + " at " + link.get().name() + ": "
                     + reply.getClass().getSimpleName());
-            note(link.get(), reply);
+            recordReply(link.get(), reply);
             mayHaveRun |= !(reply instanceof Refused);
             if (reply instanceof Answer answer) {
                 return new ServiceResult(RunResult.answered("", 1), Optional.of(answer));
             }
-            if (id.number() >= MAX_ATTEMPTS || !another(reply)) {
-                return last(reply);
+            if (id.number() >= MAX_ATTEMPTS || !mayRetry(reply)) {
+                return finalResult(reply);
             }
             id = id.next();
         }
@@ -75,7 +75,7 @@
         return notRun("no-endpoint", message, RETRY_MILLIS);
     }
 
-    private long waitLeft() {
+    private long remainingWaitMillis() {
         long waited = (context.timers().now() - started) / NANOS_PER_MILLI;
         long limit = Math.min(request.entry().limits().queueWaitMillis(), request.deadlineMillis());
         return Math.max(0, limit - waited);
@@ -84,35 +84,36 @@
     private Optional<EndpointLink> choose() {
         String pool = request.service().pool();
         long affinity = Rendezvous.hash(request.path());
-        long patience = Math.min(context.settings().timing().lease().toMillis(), waitLeft());
-        return context.fleet().chooseWithin(patience, request.entry().workClass(), pool, affinity, leftOut);
+        long patience = Math.min(context.settings().timing().lease().toMillis(), remainingWaitMillis());
+        return context.fleet().chooseWithin(patience, request.entry().workClass(), pool, affinity, excluded);
     }
 
-    private void note(EndpointLink link, AttemptReply reply) {
+    private void recordReply(EndpointLink link, AttemptReply reply) {
         if (reply instanceof Answer) {
-            link.succeeded();
+            link.recordSuccess();
             return;
         }
-        leftOut.add(link.name());
+        excluded.add(link.name());
         boolean fault = reply instanceof Failed
                 || (reply instanceof Refused refused && refused.reason() == RefusalReason.BACKEND_DOWN);
         if (fault) {
-            link.failed();
+            link.recordFailure();
         }
     }
 
-    private boolean another(AttemptReply reply) {
+    private boolean mayRetry(AttemptReply reply) {
         if (reply instanceof Refused refused) {
             return switch (refused.reason()) {
                 case LEAVING, SEALED -> true;
-                case BACKEND_DOWN, WRONG_ENDPOINT -> budgeted(refused.reason().label());
+                case BACKEND_DOWN, WRONG_ENDPOINT ->
+                    takeFromRetryBudget(refused.reason().label());
                 default -> false;
             };
         }
-        return request.entry().idempotent() && budgeted("no-answer");
+        return request.entry().idempotent() && takeFromRetryBudget("no-answer");
     }
 
-    private boolean budgeted(String reason) {
+    private boolean takeFromRetryBudget(String reason) {
         if (!context.retries().tryRetry(request.entry().owner())) {
             return false;
         }
@@ -121,7 +122,7 @@
     }
 
     /** Returns what the caller is to be told after the last attempt. */
-    private ServiceResult last(AttemptReply reply) {
+    private ServiceResult finalResult(AttemptReply reply) {
         if (reply instanceof Refused refused && !mayHaveRun) {
             long retry = Math.max(refused.retryAfterMillis(), RETRY_MILLIS);
             return notRun(refused.reason().label(), "the call was refused before it ran", retry);
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/SiteSync.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/SiteSync.java
@@ -86,12 +86,12 @@
     }
 
     /** Compares versions with an endpoint's, and fetches or passes on what is newer. */
-    void compare(EndpointLink link, HeartbeatAck ack) {
+    void reconcile(EndpointLink link, HeartbeatAck ack) {
         if (ack.catalogue() > catalogueVersion() || ack.members() > membersVersion()) {
-            link.tell(new FetchState());
+            link.sendOutsideAttempt(new FetchState());
         }
         if (ack.catalogue() < catalogueVersion() || ack.members() < membersVersion()) {
-            link.tell(state());
+            link.sendOutsideAttempt(state());
         }
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/TraceLog.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/TraceLog.java
@@ -8,13 +8,13 @@
 
 /** Remembers what happened to the latest requests, so that an operator can ask why. Thread-safe. */
 public final class TraceLog {
-    private static final int REQUESTS = 2_000;
-    private static final int NOTES = 64;
+    private static final int MAX_REQUESTS = 2_000;
+    private static final int MAX_NOTES_PER_REQUEST = 64;
 
     private final Map<String, Trace> traces = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Trace> eldest) {
-            return size() > REQUESTS;
+            return size() > MAX_REQUESTS;
         }
     };
 
@@ -27,7 +27,7 @@
 
         /** Notes something that happened, such as {@code "booked decode-3"}. */
         public synchronized void note(String what) {
-            if (notes.size() < NOTES) {
+            if (notes.size() < MAX_NOTES_PER_REQUEST) {
                 notes.add((System.nanoTime() - startedAt) / 1_000_000 + " ms: " + what);
             }
         }
--- a/daemon/src/test/java/org/quetzalseam/daemon/entry/EndpointLinkTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/entry/EndpointLinkTest.java
@@ -50,7 +50,7 @@
     private static final Duration LONG = Duration.ofSeconds(60);
 
     /** After it a link waits for a second or more before it dials again. */
-    private static final Duration DOWN = Duration.ofMillis(2_500);
+    private static final Duration RECONNECT_PAUSE = Duration.ofMillis(2_500);
 
     private static final Duration AT_ONCE = Duration.ofMillis(300);
     private static final int RESTARTS = 60;
@@ -102,13 +102,13 @@
     }
 
     /** An order that was given to the link, and what came of it. */
-    private record Given(AttemptMessage order, Inbox inbox) {}
+    private record SentOrder(AttemptMessage order, Inbox inbox) {}
 
     /** Gives orders of all kinds, one after the other, as callers do who come at every moment of a connection's opening. */
     private final class Senders {
         private final EndpointLink link;
         private final AtomicInteger number = new AtomicInteger();
-        private final Queue<Given> given = new ConcurrentLinkedQueue<>();
+        private final Queue<SentOrder> given = new ConcurrentLinkedQueue<>();
         private final List<Thread> threads = new ArrayList<>();
         private volatile boolean ended;
 
@@ -123,7 +123,7 @@
 
         private void sendUntilOneIsTaken() {
             while (!ended) {
-                Given next = new Given(order(number.incrementAndGet()), new Inbox());
+                SentOrder next = new SentOrder(order(number.incrementAndGet()), new Inbox());
                 if (link.begin(next.order(), next.inbox(), 1)) {
                     given.add(next);
                     return;
@@ -131,7 +131,7 @@
             }
         }
 
-        List<Given> ended() throws InterruptedException {
+        List<SentOrder> ended() throws InterruptedException {
             for (Thread thread : threads) {
                 thread.join(LIMIT.toMillis());
             }
@@ -150,8 +150,8 @@
         };
     }
 
-    private void assertAnswered(Given given) {
-        Event event = given.inbox().poll(LIMIT.toMillis());
+    private void assertAnswered(SentOrder given) {
+        AttemptEvent event = given.inbox().poll(LIMIT.toMillis());
         assertThat(event)
                 .as(
                         "%s, which the process %s",
@@ -161,7 +161,7 @@
                 .as(
                         "%s, which the process %s",
                         given.order(), endpoint.took(given.order().attempt()) ? "took" : "has not got")
-                .isNotInstanceOf(Event.Lost.class);
+                .isNotInstanceOf(AttemptEvent.Lost.class);
     }
 
     /**
@@ -171,10 +171,10 @@
      * milliseconds {@code request-refused … code=endpoint-lost}. Nothing about it is particular to a kind of order.
      */
     @Test
-    void whatIsBegunWhileTheFirstConnectionOpensIsAnswered() throws InterruptedException {
+    void attemptsBegunWhileTheFirstConnectionOpensAreAnswered() throws InterruptedException {
         for (int i = 0; i < RESTARTS; i++) {
             EndpointLink link = link();
-            for (Given given : new Senders(link).ended()) {
+            for (SentOrder given : new Senders(link).ended()) {
                 assertAnswered(given);
             }
             link.stop();
@@ -183,13 +183,13 @@
 
     /** The same where the endpoint has restarted at its address, so that the link knows the process before. */
     @Test
-    void whatIsBegunWhileARestartedEndpointIsConnectedIsAnswered() throws InterruptedException {
+    void attemptsBegunWhileARestartedEndpointIsConnectedAreAnswered() throws InterruptedException {
         EndpointLink link = link();
         for (int i = 0; i < RESTARTS; i++) {
             await("a connection", link::connected);
             restart();
             await("its end", () -> !link.connected());
-            for (Given given : new Senders(link).ended()) {
+            for (SentOrder given : new Senders(link).ended()) {
                 assertAnswered(given);
             }
         }
@@ -198,11 +198,11 @@
 
     /** Whoever waits for the first connection must not find it there and the link without it, or the other way round. */
     @Test
-    void whoWaitsForTheFirstConnectionGetsIt() {
+    void waitingForTheFirstConnectionYieldsAConnectedLink() {
         for (int i = 0; i < RESTARTS; i++) {
             EndpointLink link = link();
-            assertThat(link.awaitConnected(LIMIT, link::opening)).isTrue();
-            assertThat(link.opening()).isFalse();
+            assertThat(link.awaitConnected(LIMIT, link::neverConnected)).isTrue();
+            assertThat(link.neverConnected()).isFalse();
             assertThat(link.incarnation()).isNotZero();
             link.stop();
         }
@@ -210,41 +210,41 @@
 
     /** A process that left as planned is full of its end; the one after it isn't. */
     @Test
-    void aNewProcessIsNotTakenForLeavingBecauseTheOneBeforeWas() {
+    void aRestartedProcessDoesNotInheritTheDrainingStateOfThePreviousOne() {
         EndpointLink link = link();
         await("a connection", link::connected);
-        endpoint.say(new HeartbeatAck(new Load(0, 0, 0, 0, 0, true), 0, 0));
-        await("word that it leaves", link::isLeaving);
+        endpoint.sendToAll(new HeartbeatAck(new Load(0, 0, 0, 0, 0, true), 0, 0));
+        await("word that it leaves", link::isDraining);
         restart();
         await("its end", () -> !link.connected());
         await("a connection", link::connected);
-        assertThat(link.isLeaving()).isFalse();
+        assertThat(link.isDraining()).isFalse();
         link.stop();
     }
 
     @Test
-    void anEndpointThatSaysItLeavesIsToldThatThisIsKnownAndGetsNoWorkAfterIt() {
+    void aDrainingEndpointReceivesAnAcknowledgementAndNoFurtherWork() {
         EndpointLink link = link();
         await("a connection", link::connected);
-        endpoint.say(new Leaving(List.of()));
-        await("the word that it is known", () -> endpoint.leavingHeard());
+        endpoint.sendToAll(new Leaving(List.of()));
+        await("the word that it is known", () -> endpoint.isLeavingAcknowledged());
         assertThat(link.begin(order(1), new Inbox(), 1)).isFalse();
         link.stop();
     }
 
     /** Whoever holds a connection only to ask for the newest state kept a leaving endpoint waiting for a whole lease. */
     @Test
-    void anEndpointThatSaysItLeavesIsToldSoByAnInquiryForTheNewestStateToo() {
+    void aDrainingEndpointReceivesAnAcknowledgementFromASeedInquiryToo() {
         SeedInquiry inquiry = new SeedInquiry(List.of(new Seed("127.0.0.1", endpoint.port())), context);
         inquiry.start();
-        endpoint.say(new Leaving(List.of()));
-        await("the word that it is known", () -> endpoint.leavingHeard());
+        endpoint.sendToAll(new Leaving(List.of()));
+        await("the word that it is known", () -> endpoint.isLeavingAcknowledged());
         inquiry.stop();
     }
 
     /** The last message of a process may still be read when the next one is connected. */
     @Test
-    void whatAnEarlierProcessSaidIsNotTakenForTheWordOfTheOneThatIsThere() {
+    void lateMessagesOfAnEarlierProcessAreNotAttributedToTheCurrentOne() {
         EndpointLink link = link();
         await("a connection", link::connected);
         FakeEndpoint earlier = FakeEndpoint.start(0);
@@ -253,11 +253,11 @@
                 new Dialer("127.0.0.1", earlier.port(), self, SiteKey.loopback(), Transport.plain(), timers, late);
         dialer.start();
         await("the earlier process's last words", () -> {
-            earlier.say(new Leaving(List.of("key")));
+            earlier.sendToAll(new Leaving(List.of("key")));
             return late.passedOn > 0;
         });
-        assertThat(link.isLeaving()).isFalse();
-        assertThat(link.departedKeys()).isNull();
+        assertThat(link.isDraining()).isFalse();
+        assertThat(link.keysAtShutdown()).isNull();
         dialer.stop();
         earlier.stop();
         link.stop();
@@ -268,30 +268,30 @@
      * where another one had long been up at its address and had seen more. Whoever needs to know makes it dial at once.
      */
     @Test
-    void aRestartedEndpointIsReachedAtOnceByWhoNeedsToKnow() {
+    void aRestartedEndpointIsReachedAtOnceOnRequest() {
         EndpointLink link = link();
         await("a connection", link::connected);
         int port = endpoint.port();
         endpoint.stop();
         await("its end", () -> !link.connected());
-        LockSupport.parkNanos(DOWN.toNanos());
+        LockSupport.parkNanos(RECONNECT_PAUSE.toNanos());
         endpoint = FakeEndpoint.start(port);
-        assertThat(link.reach(AT_ONCE)).isEqualTo(EndpointLink.Reach.CONNECTED);
+        assertThat(link.checkReachability(AT_ONCE)).isEqualTo(EndpointLink.Reachability.CONNECTED);
         link.stop();
     }
 
     @Test
-    void anEndpointThatIsDownIsKnownToBeAtOnce() {
+    void anEndpointThatIsDownIsReportedDownAtOnce() {
         EndpointLink link = link();
         await("a connection", link::connected);
         endpoint.stop();
         await("its end", () -> !link.connected());
-        assertThat(link.reach(LIMIT)).isEqualTo(EndpointLink.Reach.DOWN);
+        assertThat(link.checkReachability(LIMIT)).isEqualTo(EndpointLink.Reachability.DOWN);
         link.stop();
     }
 
     @Test
-    void anEndpointThatIsSilentIsNotTakenToBeDown() throws IOException {
+    void anUnresponsiveEndpointIsNotReportedDown() throws IOException {
         EndpointLink link = link();
         await("a connection", link::connected);
         int port = endpoint.port();
@@ -299,8 +299,8 @@
         await("its end", () -> !link.connected());
         try (ServerSocket silent = new ServerSocket()) {
             silent.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            LockSupport.parkNanos(DOWN.toNanos());
-            assertThat(link.reach(AT_ONCE)).isEqualTo(EndpointLink.Reach.UNKNOWN);
+            LockSupport.parkNanos(RECONNECT_PAUSE.toNanos());
+            assertThat(link.checkReachability(AT_ONCE)).isEqualTo(EndpointLink.Reachability.UNKNOWN);
         }
         link.stop();
     }
--- a/daemon/src/test/java/org/quetzalseam/daemon/entry/FakeEndpoint.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/entry/FakeEndpoint.java
@@ -31,13 +31,13 @@
 final class FakeEndpoint implements Connection.Listener {
     private static final Load LOAD = Load.unknown();
     private static final Duration PORT_WAIT = Duration.ofSeconds(5);
-    private static final Duration LOOK = Duration.ofMillis(1);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(1);
     private static final Duration CONNECTION_WAIT = Duration.ofSeconds(5);
 
     private final Acceptor acceptor;
-    private final Set<AttemptId> taken = ConcurrentHashMap.newKeySet();
+    private final Set<AttemptId> received = ConcurrentHashMap.newKeySet();
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
-    private volatile boolean leavingHeard;
+    private volatile boolean leavingAcknowledged;
 
     private FakeEndpoint(int port) {
         acceptor = new Acceptor(
@@ -63,7 +63,7 @@
                 if (System.nanoTime() - end > 0) {
                     throw e;
                 }
-                LockSupport.parkNanos(LOOK.toNanos());
+                LockSupport.parkNanos(POLL_INTERVAL.toNanos());
             }
         }
     }
@@ -74,19 +74,19 @@
 
     /** Returns whether an order of an attempt has arrived here. */
     boolean took(AttemptId id) {
-        return taken.contains(id);
+        return received.contains(id);
     }
 
     /** Returns whether an entry has said that it knows of the process's leaving. */
-    boolean leavingHeard() {
-        return leavingHeard;
+    boolean isLeavingAcknowledged() {
+        return leavingAcknowledged;
     }
 
     /** Sends a message to every entry. The first is waited for: it ends its handshake, and is connected, before this process does. */
-    void say(Message message) {
+    void sendToAll(Message message) {
         long end = System.nanoTime() + CONNECTION_WAIT.toNanos();
         while (connections.isEmpty() && System.nanoTime() - end < 0) {
-            LockSupport.parkNanos(LOOK.toNanos());
+            LockSupport.parkNanos(POLL_INTERVAL.toNanos());
         }
         connections.forEach(connection -> connection.send(message));
     }
@@ -98,9 +98,9 @@
     @Override
     public void received(Connection connection, Message message) {
         if (message instanceof LeavingHeard) {
-            leavingHeard = true;
+            leavingAcknowledged = true;
         } else if (message instanceof AttemptMessage order) {
-            taken.add(order.attempt());
+            received.add(order.attempt());
             connection.send(reply(order));
         }
     }
