--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/AnswerSink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/AnswerSink.java
@@ -1,13 +1,13 @@
 package org.quetzalseam.daemon.entry;
 
-/** Where a completion's answer goes: the caller's connection. Called by one thread. */
+/** Receives a completion's answer and sends it to the caller's connection. Called by one thread. */
 public interface AnswerSink {
-    /** The request has been admitted: from now on the answer may begin. Returns false when the caller is gone. */
+    /** Reports that the request is admitted, so that the answer may begin. Returns false when the caller has disconnected. */
     boolean admitted();
 
-    /** Finds out whether the caller is still there. Returns false when it is gone. */
+    /** Checks whether the caller is still connected. Returns false when it has disconnected. */
     boolean probe();
 
-    /** Takes the next output. Returns false when the caller is gone. */
+    /** Sends the next output. Returns false when the caller has disconnected. */
     boolean output(String text);
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/AttemptEnded.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/AttemptEnded.java
@@ -2,15 +2,15 @@
 
 import org.quetzalseam.core.attempt.Outcome;
 
-/** Ends an attempt early, from wherever in it. Carries no stack trace, for it is no fault of the program. */
+/** Ends an attempt before its answer is complete. Carries no stack trace, since it is not a program error. */
 final class AttemptEnded extends RuntimeException {
-    /** Whether another attempt may follow, and at whose cost. */
+    /** Whether another attempt may follow, and whether it counts against the owner's retry budget. */
     enum Next {
         /** The result is final. */
         NONE,
         /** Another attempt may follow, within the owner's retry budget. */
         RETRY,
-        /** Another attempt is to follow whatever the budget: the endpoint is leaving as planned. */
+        /** Another attempt may follow without using the budget: the endpoint shuts down or was lost before any work began. */
         RETRY_FREE
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/AttemptEvent.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/AttemptEvent.java
@@ -5,14 +5,14 @@
 import org.quetzalseam.wire.message.Load;
 
 /**
- * Something that an endpoint said of an attempt, or the loss of the endpoint. Immutable.
+ * A reply of an endpoint to an attempt, or the loss of the endpoint. Immutable.
  *
  * @param link the endpoint
- * @param reply what it said
+ * @param reply the reply, or {@link Lost}
  */
 record AttemptEvent(EndpointLink link, AttemptReply reply) {
     /**
-     * Stands for a reply that will never come: the endpoint was restarted or can't be reached within the lease.
+     * Takes the place of a reply that will not arrive: the endpoint restarted or was not reached within the lease.
      *
      * @param attempt the attempt
      */
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionAttempt.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionAttempt.java
@@ -22,8 +22,8 @@
 import org.quetzalseam.wire.message.Work;
 
 /**
- * One attempt at a completion: a place in decode memory is booked, the prompt is prefilled, the KV cache is handed over,
- * the outputs are delivered. Used by one thread. {@link #run} ends with a result or with {@link AttemptEnded}.
+ * One attempt at a completion: books decode memory, prefills the prompt, transfers the KV cache and delivers the
+ * outputs. Used by one thread. {@link #run} returns a result or throws {@link AttemptEnded}.
  */
 final class CompletionAttempt {
     private static final long PROBE_INTERVAL_MILLIS = 250;
@@ -31,7 +31,7 @@
     private static final long PREFILL_TIMEOUT_MILLIS = 60_000;
     private static final long OUTPUT_TIMEOUT_MILLIS = 60_000;
     private static final int ADMITTED_QUEUE_LENGTH = 10_000;
-    /** What has been admitted once is not turned away again because an attempt broke: it may wait this long. */
+    /** Wait of a request that is already admitted, so that it is not refused because an earlier attempt failed. */
     private static final long ADMITTED_WAIT_MILLIS = 60_000;
 
     private static final int MAX_PREFILL_ATTEMPTS = 4;
@@ -43,7 +43,7 @@
     private final Trace trace;
     private final AttemptId id;
     private final Set<String> excluded;
-    private final long requestStarted;
+    private final long requestStartedNanos;
     private final Inbox inbox = new Inbox();
     private @Nullable EndpointLink decoder;
     private @Nullable EndpointLink prefiller;
@@ -58,7 +58,7 @@
             Trace trace,
             AttemptId id,
             Set<String> leftOut,
-            long requestStarted,
+            long requestStartedNanos,
             boolean admitted) {
         this.context = context;
         this.request = request;
@@ -66,11 +66,11 @@
         this.trace = trace;
         this.id = id;
         this.excluded = leftOut;
-        this.requestStarted = requestStarted;
+        this.requestStartedNanos = requestStartedNanos;
         this.admitted = admitted;
     }
 
-    /** Returns whether any engine has begun to work on this attempt. */
+    /** Returns whether this attempt has been prefilled or has delivered outputs. */
     boolean hasRun() {
         return prefilled || delivered > 0;
     }
@@ -123,42 +123,42 @@
                 queueLength);
     }
 
-    /** Returns how long the request may still wait to be admitted, in milliseconds. */
+    /** Returns the time that remains for the request to be admitted, in milliseconds. */
     private long remainingWaitMillis() {
         if (admitted) {
             return ADMITTED_WAIT_MILLIS;
         }
-        long waited = (context.timers().now() - requestStarted) / NANOS_PER_MILLI;
-        long limit = Math.min(request.entry().limits().queueWaitMillis(), request.deadlineMillis());
-        return limit - waited;
+        long waitedMillis = (context.timers().now() - requestStartedNanos) / NANOS_PER_MILLI;
+        long limitMillis = Math.min(request.entry().limits().queueWaitMillis(), request.deadlineMillis());
+        return limitMillis - waitedMillis;
     }
 
     private int queueLength() {
         return admitted ? ADMITTED_QUEUE_LENGTH : request.entry().limits().queueLength();
     }
 
-    /** Returns whether the caller has been told that the request is admitted. */
+    /** Returns whether the sink has been notified that the request is admitted. */
     boolean wasAdmitted() {
         return admitted;
     }
 
     private EndpointLink book() {
-        long wait = remainingWaitMillis();
-        if (wait <= 0) {
+        long waitMillis = remainingWaitMillis();
+        if (waitMillis <= 0) {
             throw AttemptEnded.refused("wait-too-long", "no engine memory became free in time", 1_000, Next.NONE);
         }
         EndpointLink link = choose(request.model().decodePool(), excluded);
-        long lead = context.fleet().expectedPrefillMillis(request.model().prefillPool(), request.promptTokens());
-        Book order = new Book(id, work(wait, queueLength()), lead);
+        long leadMillis = context.fleet().expectedPrefillMillis(request.model().prefillPool(), request.promptTokens());
+        Book order = new Book(id, work(waitMillis, queueLength()), leadMillis);
         if (!link.begin(order, inbox, request.outputTokens())) {
             excluded.add(link.name());
             throw AttemptEnded.refused("endpoint-lost", "the endpoint was lost", 0, Next.RETRY_FREE);
         }
         decoder = link;
         trace.note("asked " + link.name() + " for decode memory");
-        long until = context.timers().now() + (wait + REPLY_MARGIN_MILLIS) * NANOS_PER_MILLI;
+        long deadlineNanos = context.timers().now() + (waitMillis + REPLY_MARGIN_MILLIS) * NANOS_PER_MILLI;
         while (true) {
-            AttemptEvent event = await(until, "wait-too-long");
+            AttemptEvent event = await(deadlineNanos, "wait-too-long");
             if (event.link() == link && event.reply() instanceof Booked) {
                 trace.note("booked at " + link.name());
                 return link;
@@ -167,10 +167,11 @@
         }
     }
 
-    private EndpointLink choose(String pool, Set<String> without) {
-        long patience = Math.min(context.settings().timing().lease().toMillis(), Math.max(0, remainingWaitMillis()));
+    private EndpointLink choose(String pool, Set<String> excludedNames) {
+        long maxWaitMillis =
+                Math.min(context.settings().timing().lease().toMillis(), Math.max(0, remainingWaitMillis()));
         return context.fleet()
-                .chooseWithin(patience, request.entry().workClass(), pool, request.affinity(), without)
+                .chooseWithin(maxWaitMillis, request.entry().workClass(), pool, request.affinity(), excludedNames)
                 .orElseThrow(() -> AttemptEnded.refused(
                         "no-endpoint", "no endpoint of pool " + pool + " takes work", 1_000, Next.NONE));
     }
@@ -188,14 +189,14 @@
         return AttemptEnded.terminal(Outcome.INCOMPLETE, "caller-gone", "the caller is gone", true, delivered);
     }
 
-    /** Waits for the next event, and meanwhile finds out if the caller has gone. */
-    private AttemptEvent await(long until, String timeoutCode) {
+    /** Waits for the next event, and checks meanwhile whether the caller is still connected. */
+    private AttemptEvent await(long deadlineNanos, String timeoutCode) {
         while (true) {
-            long left = (until - context.timers().now()) / NANOS_PER_MILLI;
-            if (left <= 0) {
+            long leftMillis = (deadlineNanos - context.timers().now()) / NANOS_PER_MILLI;
+            if (leftMillis <= 0) {
                 throw timeout(timeoutCode);
             }
-            AttemptEvent event = inbox.poll(Math.min(PROBE_INTERVAL_MILLIS, left));
+            AttemptEvent event = inbox.poll(Math.min(PROBE_INTERVAL_MILLIS, leftMillis));
             if (event != null) {
                 return event;
             }
@@ -212,7 +213,7 @@
         return AttemptEnded.refused(code, "no engine memory became free in time", 1_000, Next.NONE);
     }
 
-    /** Ends the attempt if an event of the decode endpoint means that it can't go on. */
+    /** Throws if an event of the decode endpoint means that the attempt cannot continue. */
     private void throwIfEnded(AttemptEvent event, EndpointLink link) {
         if (event.link() != link) {
             return;
@@ -287,11 +288,11 @@
         throw failure("prefill-failed", "no endpoint could prefill the prompt");
     }
 
-    /** Waits for a prefill to end. Returns nothing when it has to be tried elsewhere. */
+    /** Waits for a prefill to end. Returns empty when another endpoint must be tried. */
     private Optional<byte[]> awaitPrefill(EndpointLink link) {
-        long until = context.timers().now() + PREFILL_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+        long deadlineNanos = context.timers().now() + PREFILL_TIMEOUT_MILLIS * NANOS_PER_MILLI;
         while (true) {
-            AttemptEvent event = await(until, "prefill-timeout");
+            AttemptEvent event = await(deadlineNanos, "prefill-timeout");
             if (event.link() == link && event.reply() instanceof Prefilled done) {
                 link.forget(id);
                 link.recordSuccess();
@@ -321,8 +322,8 @@
             trace.note("the order to " + link.name() + " waits for its connection");
         }
         while (true) {
-            long until = context.timers().now() + OUTPUT_TIMEOUT_MILLIS * NANOS_PER_MILLI;
-            AttemptEvent event = await(until, "output-timeout");
+            long deadlineNanos = context.timers().now() + OUTPUT_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+            AttemptEvent event = await(deadlineNanos, "output-timeout");
             if (event.link() != link) {
                 continue;
             }
@@ -336,7 +337,7 @@
             } else if (event.reply() instanceof Finished) {
                 link.send(new Resume(id, delivered));
             } else if (event.reply() instanceof Booked) {
-                // Said again after a lost connection, which may have swallowed the order.
+                // Sent again after a lost connection, with which the decode order may have been lost.
                 link.send(order);
             } else {
                 throwIfEnded(event, link);
@@ -344,7 +345,7 @@
         }
     }
 
-    /** Delivers the outputs that have not been delivered yet; a gap is asked for again. */
+    /** Delivers the outputs that are not delivered yet; requests missing ones again when there is a gap. */
     private void deliver(EndpointLink link, Outputs outputs) {
         if (outputs.first() > delivered) {
             link.send(new Resume(id, delivered));
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRequest.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRequest.java
@@ -4,17 +4,17 @@
 import org.quetzalseam.core.catalogue.ModelSpec;
 
 /**
- * A checked request for a completion. Immutable; the array isn't copied and must not be changed.
+ * A validated completion request. Immutable; the array is not copied and must not be changed.
  *
  * @param requestId the request's id
  * @param entry the catalogue entry that admits it
  * @param model the model
  * @param weight the owner's weight
  * @param promptTokens estimated length of the prompt, in tokens
- * @param outputTokens most tokens to generate
- * @param affinity hash of the prompt's beginning
- * @param deadlineMillis longest time that the caller waits for the first output, in milliseconds
- * @param body the engine's request, as JSON
+ * @param outputTokens maximum number of tokens to generate
+ * @param affinity hash of the start of the prompt
+ * @param deadlineMillis maximum time that the caller waits for the first output, in milliseconds
+ * @param body the request to the engine, as JSON
  */
 public record CompletionRequest(
         RequestId requestId,
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
@@ -8,10 +8,10 @@
 import org.quetzalseam.daemon.entry.TraceLog.Trace;
 
 /**
- * Carries out one request for a completion, in as many attempts as are needed and allowed. Used by one thread.
+ * Runs one completion request, with as many attempts as are needed and allowed. Used by one thread.
  *
- * <p>A completion may be generated again as long as no output has been delivered; afterwards it is resumed where it
- * broke off, or reported as incomplete.
+ * <p>A completion may be generated again as long as no output has been delivered; afterwards it is resumed at the next
+ * output, or reported as incomplete.
  */
 final class CompletionRun {
     private static final int MAX_ATTEMPTS = 5;
@@ -30,13 +30,13 @@
     }
 
     RunResult run() {
-        long started = context.timers().now();
+        long startedNanos = context.timers().now();
         AttemptId id = request.requestId().firstAttempt();
         boolean ran = false;
         boolean admitted = false;
         while (true) {
             CompletionAttempt attempt =
-                    new CompletionAttempt(context, request, sink, trace, id, excluded, started, admitted);
+                    new CompletionAttempt(context, request, sink, trace, id, excluded, startedNanos, admitted);
             try {
                 return attempt.run();
             } catch (AttemptEnded ended) {
@@ -64,7 +64,7 @@
         return allowed;
     }
 
-    /** Says of a request only that it was not run when no attempt at it was. */
+    /** Returns the final result: a request counts as not run only if none of its attempts has run. */
     private static RunResult report(RunResult last, boolean ran) {
         if (last.outcome() != Outcome.NOT_RUN || !ran) {
             return last;
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
@@ -36,20 +36,20 @@
 import org.quetzalseam.wire.runtime.TimerService.Subscription;
 
 /**
- * An entry's link to one endpoint: the connection, what is known of the endpoint, and the attempts that this entry has
- * there. Thread-safe.
+ * An entry's link to one endpoint: the connection, the known state of the endpoint, and the attempts that this entry has
+ * in flight there. Thread-safe.
  *
  * <p>After a lost connection the link resumes its attempts if the same incarnation of the endpoint answers within the
  * lease; otherwise each of them receives {@link AttemptEvent.Lost}.
  *
- * <p>The connection, what is known of the process at its other end, and the attempts in flight there change under one lock:
- * an attempt begun between two of these changes would be settled as one of the process before, and reported lost while it
- * runs. Nothing is called under the lock that takes locks of its own, as the site's state does.
+ * <p>The connection, the known state of the process at its other end, and the attempts in flight there change under one
+ * lock: an attempt begun between two of these changes would be treated as one of the previous process, and reported lost
+ * while it runs. Nothing that takes other locks, such as the site's state, is called under this lock.
  */
 final class EndpointLink implements Service, Dialer.Listener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration LOSS_MARGIN = Duration.ofMillis(200);
-    /** How often a wait for a connection looks for it: a part of a handshake. */
+    /** Interval at which a waiting thread checks for a connection: a fraction of the time of a handshake. */
     private static final Duration CONNECTION_POLL_INTERVAL = Duration.ofMillis(1);
 
     private final Vm vm;
@@ -94,7 +94,7 @@
         return vm;
     }
 
-    /** Returns the keys that the endpoint had seen when it left, or null when it has not said so. */
+    /** Returns the keys that the endpoint had seen when it shut down, or null when it has not reported them. */
     @Nullable
     Set<String> keysAtShutdown() {
         return keysAtShutdown;
@@ -105,15 +105,15 @@
         return incarnation;
     }
 
-    void setListedLeaving(boolean nowLeaving) {
-        listedLeaving = nowLeaving;
+    void setListedLeaving(boolean isListedLeaving) {
+        listedLeaving = isListedLeaving;
     }
 
-    /** Waits for a connection while that is worthwhile and the time isn't up. Returns whether there is one. */
-    boolean awaitConnected(Duration limit, BooleanSupplier worthwhile) {
+    /** Waits for a connection until the limit, or until the condition is false. Returns whether there is one. */
+    boolean awaitConnected(Duration limit, BooleanSupplier keepWaiting) {
         long end = System.nanoTime() + limit.toNanos();
         while (!connected()
-                && worthwhile.getAsBoolean()
+                && keepWaiting.getAsBoolean()
                 && System.nanoTime() - end < 0
                 && !Thread.currentThread().isInterrupted()) {
             LockSupport.parkNanos(CONNECTION_POLL_INTERVAL.toNanos());
@@ -121,22 +121,22 @@
         return connected();
     }
 
-    /** What an effort to connect has shown of the endpoint's process. */
+    /** Whether the endpoint's process was reached by an effort to connect. */
     enum Reachability {
-        /** There is a connection. */
+        /** The link is connected. */
         CONNECTED,
-        /** No process answered at its address at some moment since the effort began. */
+        /** Its address refused a connection that was attempted after the effort began: no process was listening. */
         DOWN,
-        /** Neither, within the limit. */
+        /** Neither a connection nor a refusal was seen within the limit. */
         UNKNOWN,
-        /** The link was dropped: the endpoint is off the list, or has another address there. */
+        /** The link was stopped: the endpoint is no longer listed, or is listed with another address. */
         DROPPED
     }
 
-    /** Finds out at once whether the endpoint's process is up, instead of when the link would dial next. */
+    /** Dials at once, without waiting for the next scheduled dial, and returns whether the endpoint's process is up. */
     Reachability checkReachability(Duration limit) {
         long before = dialer.refusals();
-        // The first refusal may answer an attempt that was made before.
+        // Two refusals are needed, because the first may belong to an attempt that began before this call.
         BooleanSupplier undecided = () -> dialer.refusals() - before < 2;
         boolean connected = awaitConnected(limit, () -> {
             dialer.dialNow();
@@ -156,7 +156,7 @@
         return connection != null && connection.open();
     }
 
-    /** Returns whether no connection has been made yet, as to an endpoint that has just been listed. */
+    /** Returns whether no connection has been made yet, such as to an endpoint that has just been listed. */
     boolean neverConnected() {
         return incarnation == 0;
     }
@@ -165,7 +165,7 @@
         return leaving || listedLeaving || load.leaving();
     }
 
-    /** Returns whether new work may be sent there. */
+    /** Returns whether new work may be sent to the endpoint. */
     boolean isUsable() {
         synchronized (ejection) {
             if (ejection.isEjected(context.timers().now())) {
@@ -187,7 +187,7 @@
         }
     }
 
-    /** Returns what placement is to know, with what this entry has sent since the endpoint's last report added. */
+    /** Returns the endpoint as input to placement, including the work sent by this entry since its last load report. */
     Candidate candidate(WorkClass workClass) {
         Load now = load;
         long added = sentCost.get() * now.nanosPerCost() / Duration.ofMillis(1).toNanos();
@@ -203,17 +203,17 @@
     }
 
     /**
-     * Sends the first order of an attempt. Returns false when it certainly was not sent, as to a process that has said that it leaves;
-     * questions about a key are put to that too.
+     * Sends the first order of an attempt. Returns false when it certainly was not sent, such as to a process that has
+     * announced its shutdown; {@link FenceKey} is sent to such a process too.
      *
      * @param order the order
-     * @param inbox receives what the endpoint says
-     * @param cost cost of the work, to be counted until the endpoint's next report
+     * @param inbox receives the replies of the endpoint
+     * @param cost cost of the work, counted as backlog until the endpoint's next load report
      */
     boolean begin(AttemptMessage order, Inbox inbox, long cost) {
         synchronized (lock) {
-            boolean unwanted = leaving && !(order instanceof FenceKey);
-            if (unwanted || !sendNow(order)) {
+            boolean rejected = leaving && !(order instanceof FenceKey);
+            if (rejected || !sendNow(order)) {
                 return false;
             }
             inFlight.put(order.attempt(), inbox);
@@ -224,8 +224,8 @@
     }
 
     /**
-     * Sends a further order of an attempt. When it is lost, resuming the attempt finds out. Returns false when it certainly
-     * was not sent, as when the process that has the attempt is gone.
+     * Sends a further order of an attempt. If the order is lost, resuming the attempt detects it. Returns false when the
+     * order certainly was not sent, such as when the process that has the attempt was replaced.
      */
     boolean send(AttemptMessage order) {
         synchronized (lock) {
@@ -233,7 +233,7 @@
         }
     }
 
-    /** Sends what concerns no attempt, if there is a connection. */
+    /** Sends a message that belongs to no attempt, if there is a connection. */
     void sendOutsideAttempt(Message message) {
         synchronized (lock) {
             sendNow(message);
@@ -245,14 +245,14 @@
         return connection != null && connection.send(message);
     }
 
-    /** Takes no more interest in an attempt that has ended there. */
+    /** Stops tracking an attempt that has ended at the endpoint. */
     void forget(AttemptId id) {
         synchronized (lock) {
             inFlight.remove(id);
         }
     }
 
-    /** Drops an attempt there. Should the message be lost, the lease does the same. */
+    /** Cancels an attempt at the endpoint. If the message is lost, the lease ends the attempt there. */
     void cancel(AttemptId id) {
         synchronized (lock) {
             if (inFlight.remove(id) != null) {
@@ -273,25 +273,25 @@
     public void opened(Connection connection) {
         long catalogue = context.site().catalogueVersion();
         long members = context.site().membersVersion();
-        long process = connection.peer().incarnation();
+        long peerIncarnation = connection.peer().incarnation();
         synchronized (lock) {
             if (stopped) {
                 return;
             }
             connectionChanges++;
-            if (process == incarnation) {
+            if (peerIncarnation == incarnation) {
                 inFlight.forEach((id, inbox) -> connection.send(new Resume(id, inbox.nextOutput())));
             } else {
                 resetProcessState();
             }
             current = connection;
-            incarnation = process;
+            incarnation = peerIncarnation;
             sendNow(new Heartbeat(List.copyOf(inFlight.keySet()), catalogue, members));
         }
-        logger.atInfo().log("event=link-opened endpoint=%s incarnation=%x", vm.name(), process);
+        logger.atInfo().log("event=link-opened endpoint=%s incarnation=%x", vm.name(), peerIncarnation);
     }
 
-    /** Settles what the process before had, and drops what it had said of itself. */
+    /** Reports the attempts of the previous process as lost, and discards the state that it had reported. */
     private void resetProcessState() {
         leaving = false;
         keysAtShutdown = null;
@@ -301,17 +301,17 @@
 
     @Override
     public void closed(Connection connection) {
-        int left;
+        int remaining;
         long change;
         synchronized (lock) {
             if (current == connection) {
                 current = null;
             }
             change = ++connectionChanges;
-            left = inFlight.size();
+            remaining = inFlight.size();
         }
         context.timers().after(context.timing().lease().plus(LOSS_MARGIN), () -> reportLostUnlessChanged(change));
-        logger.atInfo().log("event=link-closed endpoint=%s in_flight=%d", vm.name(), left);
+        logger.atInfo().log("event=link-closed endpoint=%s in_flight=%d", vm.name(), remaining);
     }
 
     private void reportLostUnlessChanged(long change) {
@@ -341,7 +341,7 @@
         }
     }
 
-    /** Returns whether a message comes from the process that the link last reached, not late from the one before. */
+    /** Returns whether a connection belongs to the process last reached; late messages may come from a previous one. */
     private boolean isFromCurrentProcess(Connection connection) {
         return connection.peer().incarnation() == incarnation;
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryContext.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryContext.java
@@ -6,15 +6,15 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 /**
- * What all requests at one entry share. Immutable.
+ * Holds what all requests of one entry share. Immutable.
  *
  * @param settings the process's settings
  * @param fleet the endpoints
  * @param site the site's state at this entry
  * @param members reads the list of VMs
- * @param retries the owners' retry budgets
- * @param metrics what is measured
- * @param traces what happened to the latest requests
+ * @param retries the retry budgets of the owners
+ * @param metrics the metrics
+ * @param traces the traces of recent requests
  * @param timers the timer service
  */
 record EntryContext(
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
@@ -19,7 +19,8 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 /**
- * Routes requests at one entry: knows the endpoints, places attempts, and says how each request ended. Thread-safe.
+ * Routes the requests of one entry: tracks the endpoints, places attempts and returns the result of each request.
+ * Thread-safe.
  *
  * <p>Example: {@code router.run(request, sink).outcome()}.
  */
@@ -41,9 +42,9 @@
      * Creates a router.
      *
      * @param settings the process's settings
-     * @param inForce the catalogue in force, which peers may renew
-     * @param store the platform's store, for the list of VMs
-     * @param metrics what is measured
+     * @param inForce the catalogue in force, which peers may update
+     * @param store the platform's store, from which the list of VMs is read
+     * @param metrics the metrics
      * @param timers the timer service
      */
     public EntryRouter(
@@ -95,7 +96,7 @@
         return fleet.entryCount();
     }
 
-    /** Runs a completion and returns how it ended. Blocks until then; outputs go to the sink meanwhile. */
+    /** Runs a completion and returns its result. Blocks until it ends; outputs go to the sink meanwhile. */
     public RunResult run(CompletionRequest request, AnswerSink sink) {
         context.retries().recordRequest(request.entry().owner());
         TraceLog.Trace trace = traces.begin(request.requestId().toString());
@@ -103,7 +104,7 @@
         return new CompletionRun(context, request, sink, trace).run();
     }
 
-    /** Runs a call of a plain service and returns how it ended. Blocks until then. */
+    /** Runs a call of a plain service and returns its result. Blocks until it ends. */
     public ServiceResult run(ServiceRequest request) {
         context.retries().recordRequest(request.entry().owner());
         TraceLog.Trace trace = traces.begin(request.requestId().toString());
@@ -111,7 +112,7 @@
         return new ServiceRun(context, request, trace).run();
     }
 
-    /** Returns what happened to a request, if it is still remembered. */
+    /** Returns the trace of a request, or empty if it is no longer kept. */
     public Optional<List<String>> explain(String requestId) {
         return traces.notes(requestId);
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryStatus.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryStatus.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The state of an entry as operators see it. Immutable.
+ * The state of an entry, as shown to operators. Immutable.
  *
  * @param name the process's name
  * @param zone its availability zone
@@ -20,12 +20,12 @@
     }
 
     /**
-     * An endpoint as the entry sees it. Immutable.
+     * The state of an endpoint, as seen by the entry. Immutable.
      *
      * @param name its name
      * @param pool its pool
      * @param connected whether there is a connection to it
-     * @param leaving whether it takes no new work
+     * @param leaving whether it is shutting down and accepts no new work
      */
     public record Peer(String name, String pool, boolean connected, boolean leaving) {}
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
@@ -23,15 +23,18 @@
 import org.quetzalseam.wire.runtime.Service;
 
 /**
- * The endpoints that one entry is linked to, by pool. Of a large pool the entry links to a subset only, chosen by
+ * The endpoints that one entry is linked to, by pool. The entry links only to a subset of a large pool, chosen by
  * rendezvous hashing, so that the number of connections stays bounded. Thread-safe.
  */
 final class Fleet implements Service, SiteSync.MembersListener {
-    /** Most endpoints of one pool that an entry links to. */
+    /** Maximum number of endpoints of one pool that an entry links to. */
     static final int LINKS_PER_POOL = 32;
 
     private static final long USABLE_POLL_MILLIS = 20;
-    /** How long after a return of the store from an older copy nobody counts as off the list: who is there is listed again within two seconds. */
+    /**
+     * Time after a restore of the store from an older copy during which no VM counts as removed from the list: running
+     * processes are listed again within two seconds.
+     */
     private static final Duration RELISTING_WAIT = Duration.ofMillis(2_500);
 
     private final String self;
@@ -41,7 +44,7 @@
     private final Map<String, PoolHistory> pools = new HashMap<>();
     private @Nullable LinkContext context;
     private MemberList newest = new MemberList(0, List.of());
-    /** Who was listed when the store came back; empty when that is long past. */
+    /** The VMs listed before the store was restored; empty once {@link #RELISTING_WAIT} has passed. */
     private List<Vm> listedBeforeRestore = List.of();
 
     private int entryCount = 1;
@@ -53,14 +56,14 @@
         this.placement = placement;
     }
 
-    /** Gives the fleet what its links share. To be called once, before the first list of VMs arrives. */
+    /** Sets what the links share. To be called once, before the first list of VMs arrives. */
     synchronized void setLinkContext(LinkContext shared) {
         context = shared;
     }
 
     @Override
     public void start() {
-        // Links are started as the list of VMs names them.
+        // Links are started when the list of VMs names their endpoints.
     }
 
     @Override
@@ -86,7 +89,7 @@
         }
     }
 
-    /** Returns the newest list, with those who were on it when the store came back. */
+    /** Returns the VMs of the newest list, and for a while those listed before the store was restored. */
     synchronized List<Vm> listed() {
         Map<String, Vm> vms = new LinkedHashMap<>();
         listedBeforeRestore.forEach(vm -> vms.put(vm.name(), vm));
@@ -100,7 +103,7 @@
             return;
         }
         List<Vm> vms = listed();
-        long now = shared.timers().now();
+        long nowNanos = shared.timers().now();
         Map<String, Vm> wanted = new HashMap<>();
         Map<String, List<Vm>> byPool = new HashMap<>();
         for (Vm vm : vms) {
@@ -110,9 +113,9 @@
         }
         byPool.forEach((pool, ofPool) -> {
             subset(ofPool).forEach(vm -> wanted.put(vm.name(), vm));
-            pools.computeIfAbsent(pool, unused -> new PoolHistory()).update(ofPool, now);
+            pools.computeIfAbsent(pool, unused -> new PoolHistory()).update(ofPool, nowNanos);
         });
-        dropUnwanted(wanted, now);
+        dropUnwanted(wanted, nowNanos);
         wanted.values().forEach(vm -> link(vm, shared));
         entryCount = (int) vms.stream()
                 .filter(vm -> vm.role() == Role.ENTRY && !vm.leaving())
@@ -125,17 +128,17 @@
         return vms.stream().filter(vm -> chosen.contains(vm.name())).toList();
     }
 
-    private void dropUnwanted(Map<String, Vm> wanted, long now) {
-        List<String> gone = links.values().stream()
+    private void dropUnwanted(Map<String, Vm> wanted, long nowNanos) {
+        List<String> unwanted = links.values().stream()
                 .filter(link -> !sameAddress(link.vm(), wanted.get(link.name())))
                 .map(EndpointLink::name)
                 .toList();
-        for (String name : gone) {
+        for (String name : unwanted) {
             EndpointLink link = links.remove(name);
             if (link != null) {
                 PoolHistory history = pools.get(link.vm().pool());
                 if (history != null) {
-                    history.recordRemoval(link, now);
+                    history.recordRemoval(link, nowNanos);
                 }
                 link.stop();
             }
@@ -178,16 +181,16 @@
         return history(pool).listedCount() <= LINKS_PER_POOL;
     }
 
-    /** Returns what is known of a pool's past members. */
+    /** Returns the history of a pool's members. */
     synchronized PoolHistory history(String pool) {
         return pools.computeIfAbsent(pool, unused -> new PoolHistory());
     }
 
-    /** Chooses an endpoint of a pool that takes new work, leaving some out. */
-    Optional<EndpointLink> choose(WorkClass workClass, String pool, long affinity, Set<String> leftOut) {
+    /** Chooses an endpoint of a pool that accepts new work and is not excluded. */
+    Optional<EndpointLink> choose(WorkClass workClass, String pool, long affinity, Set<String> excluded) {
         List<EndpointLink> usable = linksToPool(pool).stream()
                 .filter(EndpointLink::isUsable)
-                .filter(link -> !leftOut.contains(link.name()))
+                .filter(link -> !excluded.contains(link.name()))
                 .toList();
         if (usable.isEmpty()) {
             return Optional.empty();
@@ -198,17 +201,17 @@
     }
 
     /**
-     * Chooses an endpoint as {@link #choose} does. When none is usable, waits for one to come back, such as after a cut
-     * connection.
+     * Chooses an endpoint as {@link #choose} does, and an excluded one when no other is usable. When none is usable at all,
+     * waits for one, such as after a lost connection, for at most the given milliseconds.
      */
     Optional<EndpointLink> chooseWithin(
-            long millis, WorkClass workClass, String pool, long affinity, Set<String> leftOut) {
-        long end = System.nanoTime() + Duration.ofMillis(millis).toNanos();
+            long millis, WorkClass workClass, String pool, long affinity, Set<String> excluded) {
+        long endNanos = System.nanoTime() + Duration.ofMillis(millis).toNanos();
         while (true) {
             Optional<EndpointLink> link =
-                    choose(workClass, pool, affinity, leftOut).or(() -> choose(workClass, pool, affinity, Set.of()));
+                    choose(workClass, pool, affinity, excluded).or(() -> choose(workClass, pool, affinity, Set.of()));
             if (link.isPresent()
-                    || System.nanoTime() - end >= 0
+                    || System.nanoTime() - endNanos >= 0
                     || Thread.currentThread().isInterrupted()) {
                 return link;
             }
@@ -216,16 +219,16 @@
         }
     }
 
-    /** Returns the milliseconds that a prompt is expected to take in a pool, from waiting to the end of its prefill. */
+    /** Predicts the milliseconds that a prompt takes in a pool, from its queueing to the end of its prefill. */
     long expectedPrefillMillis(String pool, int promptTokens) {
         return linksToPool(pool).stream()
                 .filter(EndpointLink::isUsable)
                 .mapToLong(link -> {
                     Load load = link.load();
-                    long own = promptTokens
+                    long ownMillis = promptTokens
                             * load.nanosPerCost()
                             / Duration.ofMillis(1).toNanos();
-                    return load.backlogMillis() + own;
+                    return load.backlogMillis() + ownMillis;
                 })
                 .min()
                 .orElse(0);
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/Inbox.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/Inbox.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** What has arrived for one attempt and was not yet looked at. Thread-safe. */
+/** Queue of events of one attempt that have arrived and are not yet handled. Thread-safe. */
 final class Inbox {
     private final LinkedBlockingQueue<AttemptEvent> events = new LinkedBlockingQueue<>();
     private volatile int nextOutput;
@@ -13,7 +13,7 @@
         events.add(event);
     }
 
-    /** Waits for the next event; returns null when there was none in time. */
+    /** Waits for the next event; returns null when none arrived in time or the thread was interrupted. */
     @Nullable
     AttemptEvent poll(long millis) {
         try {
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Returns the index of the first output that has not been delivered: where to resume after a lost connection. */
+    /** Returns the index of the first output not yet delivered, from which to resume after a lost connection. */
     int nextOutput() {
         return nextOutput;
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
@@ -18,54 +18,54 @@
 import org.quetzalseam.wire.message.KeyFenced;
 
 /**
- * Finds out whether any endpoint other than its holder has seen a key, and bars the key from all that have not. Used by
- * one thread.
+ * Determines whether any endpoint other than its holder has seen an idempotency key, and fences the key at all that have
+ * not. Used by one thread.
  *
- * <p>Endpoints that have left are not asked: those that left as planned have said which keys they had seen; of those that
- * crashed nothing is known.
+ * <p>Endpoints that were removed are not asked: those that shut down as planned have reported which keys they had seen; of
+ * those that crashed nothing is known.
  */
 final class KeyInquiry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** How long a link without a connection is waited for at least: tens of handshakes in one region. */
+    /** Minimum wait for a link that has no connection: the time of tens of handshakes within one region. */
     private static final Duration CONNECTION_WAIT = Duration.ofMillis(500);
 
-    /** How often connections that a question is on are looked at. */
+    /** Interval at which connections with an unanswered question are checked. */
     private static final Duration DISCONNECT_POLL_INTERVAL = Duration.ofMillis(10);
 
     private static final int MAX_SEND_ATTEMPTS = 3;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** What is known of the key. */
+    /** What the inquiry found out about the key. */
     enum Answer {
-        /** Nobody has seen it, and nobody else will take it. */
+        /** No other endpoint has seen it, and none will accept it any more. */
         NEVER_SEEN,
         /** Another endpoint has seen it. */
         SEEN,
-        /** Somebody who may have seen it can't be asked. */
+        /** An endpoint that may have seen it cannot be asked. */
         UNKNOWN
     }
 
-    /** Why an inquiry can't tell. */
+    /** Why the answer of an inquiry is unknown; written to the log under its own name. */
     private enum UnknownReason {
         /** The newest list of VMs could not be read. */
         LIST_UNREADABLE,
-        /** The pool is larger than what the entry is linked to. */
+        /** The entry is linked to a part of the pool only. */
         POOL_NOT_LINKED,
-        /** An endpoint that can't be asked left no word that it had not seen the key. */
+        /** An endpoint that cannot be asked has not reported, at shutdown, that it had not seen the key. */
         ABSENT_WITHOUT_WORD,
-        /** An endpoint left word and is silent now: another process may be up at its address. */
+        /** An endpoint reported its keys at shutdown and is unresponsive: a new process may be up at its address. */
         LEFT_AND_MAYBE_BACK,
-        /** An endpoint that was asked was lost before it answered, twice. */
+        /** An endpoint was lost twice before it answered. */
         ASKED_AND_LOST,
-        /** An endpoint that was asked did not answer in time. */
+        /** An endpoint did not answer in time. */
         NO_ANSWER_IN_TIME
     }
 
     /**
      * The result of an inquiry. Immutable.
      *
-     * @param answer what is known of the key
-     * @param seenAt the endpoint that has seen it and can be reached
+     * @param answer what is known about the key
+     * @param seenAt the endpoint that has seen the key and can be reached
      */
     record Finding(Answer answer, Optional<EndpointLink> seenAt) {}
 
@@ -83,7 +83,7 @@
     private final List<EndpointLink> absent = new ArrayList<>();
     private final Set<EndpointLink> maybeRestarted = new HashSet<>();
     private final Inbox inbox = new Inbox();
-    private final long startedAt;
+    private final long startedNanos;
 
     KeyInquiry(
             EntryContext context,
@@ -100,10 +100,10 @@
         this.mintedAtMillis = mintedAtMillis;
         this.id = id;
         this.retentionNanos = retentionNanos;
-        this.startedAt = context.timers().now();
+        this.startedNanos = context.timers().now();
     }
 
-    /** Asks everybody on the newest list of VMs, which is read for this purpose. */
+    /** Asks every endpoint of the pool on the newest list of VMs, which is read for this purpose. */
     Finding inquire() {
         if (!context.members().refresh()) {
             return unknown(UnknownReason.LIST_UNREADABLE);
@@ -113,7 +113,7 @@
         }
         absent.addAll(removedEndpoints());
         askAll();
-        // Who was dropped before it could be met is not among those asked.
+        // An endpoint removed before its link was considered is not among those asked.
         removedEndpoints().stream()
                 .filter(link -> !considered.contains(link) && !absent.contains(link))
                 .forEach(absent::add);
@@ -135,7 +135,7 @@
                 .removedWithin(retentionNanos, context.timers().now());
     }
 
-    /** Asks also who is listed anew meanwhile, as an endpoint is that comes back at another address. */
+    /** Asks all endpoints, and those listed meanwhile, such as one that has restarted at another address. */
     private void askAll() {
         boolean asking = true;
         while (asking) {
@@ -152,13 +152,13 @@
 
     private void ask(EndpointLink link) {
         Reachability reach = awaitReachability(link);
-        for (int tries = 1; reach == Reachability.CONNECTED; tries++) {
+        for (int sends = 1; reach == Reachability.CONNECTED; sends++) {
             if (link.begin(new FenceKey(id, key, mintedAtMillis), inbox, 0)) {
                 asked.add(link);
                 return;
             }
-            // The connection closed in between; what is there now is to be seen again.
-            reach = tries < MAX_SEND_ATTEMPTS ? awaitReachability(link) : Reachability.UNKNOWN;
+            // The connection closed in between, so the endpoint's reachability is checked again.
+            reach = sends < MAX_SEND_ATTEMPTS ? awaitReachability(link) : Reachability.UNKNOWN;
         }
         asked.remove(link);
         unanswered.remove(link);
@@ -169,9 +169,11 @@
     }
 
     /**
-     * Waits for a link that has just been made. One that leaves counts by its word only where its process is down: the next one
-     * at its address may have seen the key since, and the link dials it late. Whether it is down, or up, may take as long to show as a
-     * process that isn't heard counts as there; one without a word leaves the key in doubt either way, and is not waited for so long.
+     * Waits for a connection of a link that may have just been created. The keys that an endpoint reported at shutdown are
+     * relied on only if its process is down, because the next process at its address may have seen the key since, and the
+     * link dials late. Whether the process is down or up may take a lease to show, the time for which an unresponsive process
+     * still counts as present. An endpoint that has not reported its keys leaves the answer unknown in either case, so it is
+     * not waited for that long.
      */
     private Reachability awaitReachability(EndpointLink link) {
         boolean connected = link.awaitConnected(CONNECTION_WAIT, () -> link.keysAtShutdown() == null);
@@ -181,10 +183,10 @@
         return link.checkReachability(link.keysAtShutdown() == null ? CONNECTION_WAIT : remainingLease());
     }
 
-    /** Returns what is left of one lease, which all links share, but time to connect in any case. */
+    /** Returns the rest of one lease, which all links share, but at least {@link #CONNECTION_WAIT}. */
     private Duration remainingLease() {
-        Duration rest = lease().minusNanos(context.timers().now() - startedAt);
-        return rest.compareTo(CONNECTION_WAIT) > 0 ? rest : CONNECTION_WAIT;
+        Duration remaining = lease().minusNanos(context.timers().now() - startedNanos);
+        return remaining.compareTo(CONNECTION_WAIT) > 0 ? remaining : CONNECTION_WAIT;
     }
 
     private Duration lease() {
@@ -200,7 +202,7 @@
                 names(asked),
                 names(unanswered),
                 names(absent),
-                (context.timers().now() - startedAt) / NANOS_PER_MILLI);
+                (context.timers().now() - startedNanos) / NANOS_PER_MILLI);
         return new Finding(Answer.UNKNOWN, Optional.empty());
     }
 
@@ -217,13 +219,14 @@
     }
 
     /**
-     * Puts the question again where its connection has closed. It would be reported lost after a lease, as other orders are that may have been
-     * carried out; to bar a key twice is the same as once, and an endpoint that stops as planned leaves the question unanswered.
+     * Asks again where the connection has closed. Otherwise the question would be reported lost only after a lease, like other
+     * orders that may have been carried out. Asking twice is safe, because fencing a key is idempotent, and it is needed,
+     * because an endpoint that shuts down as planned leaves the question unanswered.
      */
     private void askAgainWhereDisconnected() {
-        List<EndpointLink> closed =
+        List<EndpointLink> disconnected =
                 unanswered.stream().filter(link -> !link.connected()).toList();
-        for (EndpointLink link : closed) {
+        for (EndpointLink link : disconnected) {
             if (askedAgain.add(link)) {
                 link.forget(id);
                 ask(link);
@@ -232,13 +235,13 @@
         }
     }
 
-    /** Waits for the answers, for a lease: one that is connected and silent for longer counts as gone elsewhere too. */
+    /** Waits for the answers, for one lease: other code also treats an endpoint as lost if it is unresponsive for longer. */
     private Finding awaitAnswers() {
-        long until = context.timers().now() + lease().toNanos();
+        long deadlineNanos = context.timers().now() + lease().toNanos();
         while (!unanswered.isEmpty()) {
-            long left = (until - context.timers().now()) / NANOS_PER_MILLI;
-            AttemptEvent event = inbox.poll(Math.max(0, Math.min(left, DISCONNECT_POLL_INTERVAL.toMillis())));
-            if (event == null && left <= 0) {
+            long leftMillis = (deadlineNanos - context.timers().now()) / NANOS_PER_MILLI;
+            AttemptEvent event = inbox.poll(Math.max(0, Math.min(leftMillis, DISCONNECT_POLL_INTERVAL.toMillis())));
+            if (event == null && leftMillis <= 0) {
                 return unknown(UnknownReason.NO_ANSWER_IN_TIME);
             }
             if (event == null) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
@@ -22,13 +22,13 @@
 import org.quetzalseam.wire.message.Refused;
 
 /**
- * Carries out a non-idempotent call that has an idempotency key. The endpoint to which rendezvous hashing gives the key
- * both remembers and runs it. When that endpoint can't be asked, nothing else runs the call: the caller is told that the
+ * Runs a non-idempotent call that has an idempotency key. The endpoint that rendezvous hashing assigns to the key both
+ * records the key and runs the call. When that endpoint cannot be asked, no other runs the call: the result is that the
  * outcome is unknown and that the same key may safely be sent again. Used by one thread.
  */
 final class KeyedRun {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** How long a call waits for a connection to its key's holder: tens of handshakes in one region. */
+    /** Maximum wait of a call for a connection to the holder of its key: the time of tens of handshakes within one region. */
     private static final Duration CONNECTION_WAIT = Duration.ofSeconds(1);
 
     private static final int MAX_ATTEMPTS = 6;
@@ -67,13 +67,13 @@
             }
             EndpointLink link = holder.get();
             if (!isReachable(link)) {
-                Optional<EndpointLink> now = holder();
-                if (now.equals(holder)) {
+                Optional<EndpointLink> newHolder = holder();
+                if (newHolder.equals(holder)) {
                     return unreachable(link);
                 }
-                // It left, or was listed anew, before anything was sent to it.
+                // The holder was removed, or listed again, before anything was sent to it.
                 fencedFor = 0;
-                holder = now;
+                holder = newHolder;
                 continue;
             }
             long incarnation = link.incarnation();
@@ -109,7 +109,7 @@
                 fencedFor = 0;
                 holder = holder();
             } else if (reason == RefusalReason.OLD_MEMBERS && context.members().refresh()) {
-                // Refused before the key was looked at; by the newer list it may have another holder.
+                // Refused before the key was looked up; the newer list may assign it to another holder.
                 fencedFor = 0;
                 holder = holder();
             } else {
@@ -126,9 +126,10 @@
     }
 
     /**
-     * Returns whether a holder can be reached. The first connection to one that has restarted as planned is waited for, as it is
-     * listed before; one whose connection was cut is dialled, and is out of reach as soon as that shows it to be down. Nothing is sent
-     * meanwhile, so the wait proves and spoils nothing.
+     * Returns whether a holder can be reached. Waits for the first connection to a holder that has restarted as planned,
+     * because it is listed before it is connected. A holder whose connection was lost is dialled at once, and counts as
+     * unreachable as soon as it is known to be down. Nothing is sent meanwhile, so the wait has no effect on the call's
+     * outcome.
      */
     private static boolean isReachable(EndpointLink link) {
         return link.awaitConnected(CONNECTION_WAIT, link::neverConnected)
@@ -140,7 +141,7 @@
         return new KeyInquiry(context, request.service().pool(), holder, key, mintedAt, id, retention);
     }
 
-    /** Returns the endpoint that holds the key among those that aren't leaving. */
+    /** Returns the holder of the key among the endpoints that are not draining or excluded. */
     private Optional<EndpointLink> holder() {
         List<EndpointLink> members = context
                 .fleet()
@@ -157,7 +158,7 @@
 
     private KeyUse keyUse(long fencedFor) {
         long now = context.timers().now();
-        // An endpoint that says it leaves may be known to this entry only through the refusal just received.
+        // That an endpoint is draining may be known to this entry only from the refusal just received.
         long unchanged = excluded.isEmpty()
                 ? context.fleet().history(request.service().pool()).unchangedMillis(now)
                 : 0;
@@ -170,8 +171,8 @@
     }
 
     /**
-     * Returns what the caller is to be told of a refusal. Only a holder that had claimed the key before it refused proves
-     * that no earlier request with the key has run either.
+     * Returns the result for a refusal. Only a holder that had claimed the key before it refused proves that no earlier
+     * request with the key has run either.
      */
     private static ServiceResult refused(RefusalReason reason, long retryAfterMillis) {
         if (reason == RefusalReason.KEY_MISMATCH) {
@@ -179,13 +180,13 @@
             return new ServiceResult(
                     RunResult.ended(Outcome.NOT_RUN, reason.label(), message, false, 0), Optional.empty());
         }
-        boolean proved = reason == RefusalReason.QUEUE_FULL
+        boolean provedNotRun = reason == RefusalReason.QUEUE_FULL
                 || reason == RefusalReason.WAIT_TOO_LONG
                 || reason == RefusalReason.BACKEND_DOWN;
-        if (!proved) {
+        if (!provedNotRun) {
             return unknown(reason.label(), "no endpoint could tell whether the key has been used");
         }
-        long retry = Math.max(retryAfterMillis, RETRY_MILLIS);
-        return ServiceRun.notRun(reason.label(), "the call was refused before it ran", retry);
+        long retryMillis = Math.max(retryAfterMillis, RETRY_MILLIS);
+        return ServiceRun.notRun(reason.label(), "the call was refused before it ran", retryMillis);
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/LinkContext.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/LinkContext.java
@@ -8,15 +8,15 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 /**
- * What all links of an entry share. Immutable.
+ * Holds what all links of an entry share. Immutable.
  *
- * @param self who the entry is
+ * @param self the identity of the entry
  * @param key the site's key
- * @param transport makes the sockets
+ * @param transport creates the sockets
  * @param timers the timer service
  * @param timing intervals and limits of time
  * @param site the site's state at this entry
- * @param poolChanged is told of a pool, one of whose endpoints has said that it leaves
+ * @param poolChanged called with the name of a pool when one of its endpoints announces its shutdown
  */
 record LinkContext(
         Identity self,
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/MemberWatch.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/MemberWatch.java
@@ -7,7 +7,7 @@
 import org.quetzalseam.daemon.platform.WatchLoop;
 import org.quetzalseam.wire.runtime.Service;
 
-/** Follows the platform's list of VMs. Through an outage it keeps asking. Thread-safe. */
+/** Follows the platform's list of VMs, and retries during an outage of the store. Thread-safe. */
 final class MemberWatch implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -33,13 +33,13 @@
     }
 
     /**
-     * Reads the list anew. Returns true when a read that began after this call has succeeded; callers that wait for each
-     * other share reads.
+     * Reads the list again. Returns true when a read that began after this call has succeeded; concurrent callers share
+     * reads.
      */
     boolean refresh() {
-        long asked = System.nanoTime();
+        long calledAt = System.nanoTime();
         synchronized (this) {
-            if (lastReadSucceeded && lastReadStartedAt - asked > 0) {
+            if (lastReadSucceeded && lastReadStartedAt - calledAt > 0) {
                 return true;
             }
             lastReadStartedAt = System.nanoTime();
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/PoolHistory.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/PoolHistory.java
@@ -9,15 +9,15 @@
 import org.quetzalseam.wire.message.Vm;
 
 /**
- * When a pool's members last changed, and who has left it: what is needed to judge whether an idempotency key may have
- * been seen by a former holder. Thread-safe. Times are nanoseconds of one monotonic clock.
+ * Records when a pool's members last changed and which endpoints were removed, in order to decide whether a former holder
+ * may have seen an idempotency key. Thread-safe. Times are nanoseconds of one monotonic clock.
  */
 final class PoolHistory {
     /**
-     * An endpoint that has left.
+     * An endpoint that was removed from the list.
      *
      * @param link the endpoint
-     * @param removedAt when it left the list
+     * @param removedAt when it was removed from the list
      */
     record RemovedEndpoint(EndpointLink link, long removedAt) {}
 
@@ -27,7 +27,7 @@
     private boolean hasChanged;
     private final Map<String, RemovedEndpoint> removed = new HashMap<>();
 
-    /** Takes note of the pool's members. The first list that a process reads counts as a change, for it knows no past. */
+    /** Records the pool's members. The first list that a process reads counts as a change, as it knows no earlier one. */
     synchronized void update(List<Vm> vms, long now) {
         listedCount = vms.size();
         Set<String> names = new HashSet<>();
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Takes note that the pool has changed in a way that the list of VMs doesn't show yet. */
+    /** Records that the pool has changed in a way that the list of VMs does not show yet. */
     synchronized void recordChange(long now) {
         hasChanged = true;
         changedAt = now;
@@ -49,21 +49,21 @@
         removed.put(link.name(), new RemovedEndpoint(link, now));
     }
 
-    /** Returns how many endpoints of the pool are on the list. */
+    /** Returns the number of listed endpoints of the pool. */
     synchronized int listedCount() {
         return listedCount;
     }
 
-    /** Returns how long the members have been the same, in milliseconds. */
+    /** Returns the time since the last change of the members, in milliseconds; 0 if none is recorded. */
     synchronized long unchangedMillis(long now) {
         return hasChanged ? (now - changedAt) / 1_000_000 : 0;
     }
 
-    /** Returns who has left within the given time and has not come back. */
+    /** Returns the endpoints that were removed within the given time and are not members again. */
     synchronized List<EndpointLink> removedWithin(long nanos, long now) {
         removed.values()
-                .removeIf(gone -> now - gone.removedAt() > nanos
-                        || members.contains(gone.link().name()));
+                .removeIf(endpoint -> now - endpoint.removedAt() > nanos
+                        || members.contains(endpoint.link().name()));
         return new ArrayList<>(
                 removed.values().stream().map(RemovedEndpoint::link).toList());
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/RequestId.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/RequestId.java
@@ -3,10 +3,10 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * Names a request. Immutable.
+ * Identifies a request. Immutable.
  *
  * @param entry incarnation of the entry process
- * @param counter number of the request within the incarnation
+ * @param counter sequence number of the request within the incarnation
  */
 public record RequestId(long entry, long counter) {
     /** Returns the id of the request's first attempt. */
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/RunResult.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/RunResult.java
@@ -3,14 +3,14 @@
 import org.quetzalseam.core.attempt.Outcome;
 
 /**
- * How a request ended. Immutable.
+ * The result of a request. Immutable.
  *
- * @param outcome what is known of it
+ * @param outcome whether it was answered, and otherwise whether it may have run
  * @param code machine-readable reason, empty when it was answered
- * @param message the reason in words
- * @param retrySafe whether sending the same request again can't do harm
- * @param retryAfterMillis when trying again makes sense, in milliseconds; 0 when at once
- * @param finishReason the engine's reason for ending an answer
+ * @param message human-readable reason
+ * @param retrySafe whether the same request may safely be sent again
+ * @param retryAfterMillis time after which a retry is sensible, in milliseconds; 0 for at once
+ * @param finishReason the engine's reason for ending the answer
  * @param outputs number of outputs delivered
  */
 public record RunResult(
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/SeedInquiry.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/SeedInquiry.java
@@ -13,14 +13,14 @@
 import org.quetzalseam.wire.runtime.Service;
 
 /**
- * Asks the processes that the settings name for the site's state, so that an entry can start while the platform's store
- * is down. Of several answers the newest counts. Thread-safe.
+ * Requests the site's state from the processes that the settings name as seeds, so that an entry can start while the
+ * platform's store is down. The newest of several answers is used. Thread-safe.
  */
 final class SeedInquiry implements Service {
     private final List<Dialer> dialers;
 
     SeedInquiry(List<Seed> seeds, LinkContext context) {
-        // An incarnation of its own keeps these connections apart from the entry's link to the same endpoint.
+        // A separate incarnation distinguishes these connections from the entry's link to the same endpoint.
         Identity self = Identity.start(
                 context.self().role(), context.self().name(), context.self().zone());
         dialers = seeds.stream()
@@ -51,14 +51,15 @@
             if (message instanceof SiteState state) {
                 site.offer(state);
             } else if (message instanceof Leaving) {
-                // No work is sent here; who leaves needn't wait for more.
+                // No work is sent on this connection, so the endpoint need not wait for any before it shuts down.
                 connection.send(new LeavingHeard());
             }
         }
 
         @Override
         public void closed(Connection connection) {
-            // The dialer asks again: the seed may know more by then. A silent connection is closed within seconds.
+            // The dialer reconnects and the state is requested again, as the seed may have a newer one by then.
+            // An idle connection is closed within seconds.
         }
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceAttempt.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceAttempt.java
@@ -15,7 +15,7 @@
 import org.quetzalseam.wire.message.SealAnswer;
 import org.quetzalseam.wire.message.Work;
 
-/** Makes one attempt at a service call and finds out what became of it. Used by one thread. */
+/** Makes single attempts at a service call and determines their results. Used by one thread. */
 final class ServiceAttempt {
     private static final long REPLY_MARGIN_MILLIS = 1_000;
     private static final long SEAL_TIMEOUT_MILLIS = 1_000;
@@ -34,10 +34,10 @@
      *
      * @param link the endpoint
      * @param id the attempt
-     * @param key how it uses an idempotency key
-     * @param waitMillis longest wait in the endpoint's queue
-     * @return {@link Answer}, {@link Refused} when it was proved not to have run, {@link Failed} when it may have run, or
-     *     {@link AttemptEvent.Lost} when the endpoint is lost and nothing can be proved
+     * @param key the use of an idempotency key
+     * @param waitMillis maximum wait in the endpoint's queue, in milliseconds
+     * @return {@link Answer}, {@link Refused} when the call certainly has not run, {@link Failed} when it may have run, or
+     *     {@link AttemptEvent.Lost} when the endpoint is lost and it is unknown whether the call has run
      */
     AttemptReply call(EndpointLink link, AttemptId id, KeyUse key, long waitMillis) {
         Inbox inbox = new Inbox();
@@ -70,12 +70,12 @@
         }
     }
 
-    private AttemptReply await(EndpointLink link, AttemptId id, Inbox inbox, long millis) {
-        long until = context.timers().now() + millis * NANOS_PER_MILLI;
+    private AttemptReply await(EndpointLink link, AttemptId id, Inbox inbox, long timeoutMillis) {
+        long deadlineNanos = context.timers().now() + timeoutMillis * NANOS_PER_MILLI;
         boolean sealing = false;
         while (true) {
-            long left = (until - context.timers().now()) / NANOS_PER_MILLI;
-            AttemptEvent event = inbox.poll(Math.max(0, left));
+            long leftMillis = (deadlineNanos - context.timers().now()) / NANOS_PER_MILLI;
+            AttemptEvent event = inbox.poll(Math.max(0, leftMillis));
             if (event != null && isFinal(event.reply())) {
                 return event.reply();
             }
@@ -87,7 +87,7 @@
             }
             if (event == null) {
                 sealing = true;
-                until = context.timers().now() + SEAL_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+                deadlineNanos = context.timers().now() + SEAL_TIMEOUT_MILLIS * NANOS_PER_MILLI;
                 link.send(new Seal(id));
             }
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRequest.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRequest.java
@@ -6,7 +6,7 @@
 import org.quetzalseam.core.catalogue.ServiceSpec;
 
 /**
- * A checked call of a plain service. Immutable; the array isn't copied and must not be changed.
+ * A validated call of a plain service. Immutable; the array is not copied and must not be changed.
  *
  * @param requestId the request's id
  * @param entry the catalogue entry that admits it
@@ -14,10 +14,10 @@
  * @param weight the owner's weight
  * @param method HTTP method
  * @param path path and query below the service
- * @param headers headers to pass on
+ * @param headers headers to forward
  * @param body request body
  * @param key the caller's idempotency key
- * @param deadlineMillis longest time that the caller waits, in milliseconds
+ * @param deadlineMillis maximum time that the caller waits, in milliseconds
  */
 public record ServiceRequest(
         RequestId requestId,
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceResult.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceResult.java
@@ -4,9 +4,9 @@
 import org.quetzalseam.wire.message.Answer;
 
 /**
- * How a call of a plain service ended. Immutable.
+ * The result of a call of a plain service. Immutable.
  *
- * @param result how it ended
- * @param answer the service's answer, when there was one
+ * @param result the result without the service's answer
+ * @param answer the service's answer, if there was one
  */
 public record ServiceResult(RunResult result, Optional<Answer> answer) {}
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRun.java
@@ -15,10 +15,10 @@
 import org.quetzalseam.wire.message.Refused;
 
 /**
- * Carries out one call of a plain service. Used by one thread.
+ * Runs one call of a plain service. Used by one thread.
  *
- * <p>What was proved not to have run may be sent elsewhere; beyond that only idempotent calls are repeated. A call with an
- * idempotency key goes to the endpoint that holds the key, and to no other.
+ * <p>An attempt that certainly has not run may be repeated at another endpoint; beyond that only idempotent calls are
+ * repeated. A non-idempotent call with an idempotency key goes to the endpoint that holds the key, and to no other.
  */
 final class ServiceRun {
     private static final int MAX_ATTEMPTS = 5;
@@ -30,7 +30,7 @@
     private final Trace trace;
     private final Set<String> excluded = new HashSet<>();
     private final ServiceAttempt attempts;
-    private final long started;
+    private final long startedNanos;
     private boolean mayHaveRun;
 
     ServiceRun(EntryContext context, ServiceRequest request, Trace trace) {
@@ -38,7 +38,7 @@
         this.request = request;
         this.trace = trace;
         this.attempts = new ServiceAttempt(context, request);
-        this.started = context.timers().now();
+        this.startedNanos = context.timers().now();
     }
 
     ServiceResult run() {
@@ -76,16 +76,16 @@
     }
 
     private long remainingWaitMillis() {
-        long waited = (context.timers().now() - started) / NANOS_PER_MILLI;
-        long limit = Math.min(request.entry().limits().queueWaitMillis(), request.deadlineMillis());
-        return Math.max(0, limit - waited);
+        long waitedMillis = (context.timers().now() - startedNanos) / NANOS_PER_MILLI;
+        long limitMillis = Math.min(request.entry().limits().queueWaitMillis(), request.deadlineMillis());
+        return Math.max(0, limitMillis - waitedMillis);
     }
 
     private Optional<EndpointLink> choose() {
         String pool = request.service().pool();
         long affinity = Rendezvous.hash(request.path());
-        long patience = Math.min(context.settings().timing().lease().toMillis(), remainingWaitMillis());
-        return context.fleet().chooseWithin(patience, request.entry().workClass(), pool, affinity, excluded);
+        long maxWaitMillis = Math.min(context.settings().timing().lease().toMillis(), remainingWaitMillis());
+        return context.fleet().chooseWithin(maxWaitMillis, request.entry().workClass(), pool, affinity, excluded);
     }
 
     private void recordReply(EndpointLink link, AttemptReply reply) {
@@ -94,9 +94,9 @@
             return;
         }
         excluded.add(link.name());
-        boolean fault = reply instanceof Failed
+        boolean endpointFailed = reply instanceof Failed
                 || (reply instanceof Refused refused && refused.reason() == RefusalReason.BACKEND_DOWN);
-        if (fault) {
+        if (endpointFailed) {
             link.recordFailure();
         }
     }
@@ -121,11 +121,11 @@
         return true;
     }
 
-    /** Returns what the caller is to be told after the last attempt. */
+    /** Returns the result of the call after the last attempt. */
     private ServiceResult finalResult(AttemptReply reply) {
         if (reply instanceof Refused refused && !mayHaveRun) {
-            long retry = Math.max(refused.retryAfterMillis(), RETRY_MILLIS);
-            return notRun(refused.reason().label(), "the call was refused before it ran", retry);
+            long retryMillis = Math.max(refused.retryAfterMillis(), RETRY_MILLIS);
+            return notRun(refused.reason().label(), "the call was refused before it ran", retryMillis);
         }
         boolean safe = request.entry().idempotent();
         String code = reply instanceof Failed failed ? failed.code().label() : "answer-lost";
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/SiteSync.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/SiteSync.java
@@ -14,16 +14,16 @@
 import org.quetzalseam.wire.message.SiteState;
 
 /**
- * The catalogue and the list of VMs at one entry, kept as new as the newest that the store or any endpoint has. Endpoints
- * hold both for other entries, so that a change reaches an entry that the store doesn't answer. Thread-safe.
+ * Keeps the catalogue and the list of VMs of one entry as new as the newest that the store or any endpoint has. Endpoints
+ * hold both for other entries, so that a change also reaches an entry that cannot read the store. Thread-safe.
  */
 final class SiteSync {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    /** Is told of each newer list of VMs. */
+    /** Receives each newer list of VMs. */
     @FunctionalInterface
     interface MembersListener {
-        /** Takes a list that is newer than any before. */
+        /** Handles a list that is newer than all previous ones. */
         void changed(MemberList members);
     }
 
@@ -44,7 +44,7 @@
         return members.version();
     }
 
-    /** Takes a list of VMs if it is newer than the current one. */
+    /** Adopts a list of VMs if it is newer than the current one. */
     void offerMembers(MemberList candidate) {
         synchronized (this) {
             if (candidate.version() <= members.version()) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Takes whatever is newer of what another process has passed on. */
+    /** Adopts whatever is newer in the state that another process has sent. */
     void offer(SiteState state) {
         offerMembers(new MemberList(state.members(), state.vms()));
         if (state.manifest().version() > inForce.version()) {
@@ -65,10 +65,10 @@
 
     private void offerCatalogue(SiteState state) {
         Map<String, String> digests = state.manifest().files();
-        boolean whole = state.files().keySet().equals(digests.keySet())
+        boolean complete = state.files().keySet().equals(digests.keySet())
                 && digests.entrySet().stream().allMatch(file -> file.getValue().equals(digest(state, file.getKey())));
         Parsed parsed = CatalogueParser.parse(state.files());
-        if (!whole || !parsed.valid()) {
+        if (!complete || !parsed.valid()) {
             logger.atWarning().log(
                     "event=catalogue-from-peer-broken version=%d",
                     state.manifest().version());
@@ -85,7 +85,7 @@
         return Digests.of(state.files().getOrDefault(file, ""));
     }
 
-    /** Compares versions with an endpoint's, and fetches or passes on what is newer. */
+    /** Compares versions with those of an endpoint, and requests or sends whatever is newer. */
     void reconcile(EndpointLink link, HeartbeatAck ack) {
         if (ack.catalogue() > catalogueVersion() || ack.members() > membersVersion()) {
             link.sendOutsideAttempt(new FetchState());
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/TraceLog.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/TraceLog.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Remembers what happened to the latest requests, so that an operator can ask why. Thread-safe. */
+/** Keeps the traces of recent requests, so that an operator can look up why one ended as it did. Thread-safe. */
 public final class TraceLog {
     private static final int MAX_REQUESTS = 2_000;
     private static final int MAX_NOTES_PER_REQUEST = 64;
@@ -18,17 +18,17 @@
         }
     };
 
-    /** What happened to one request. Thread-safe. Holds no part of the request itself. */
+    /** The trace of one request. Thread-safe. Contains no part of the request itself. */
     public static final class Trace {
-        private final long startedAt = System.nanoTime();
+        private final long startedNanos = System.nanoTime();
         private final List<String> notes = new ArrayList<>();
 
         private Trace() {}
 
-        /** Notes something that happened, such as {@code "booked decode-3"}. */
+        /** Adds a note of something that happened, such as {@code "booked decode-3"}. */
         public synchronized void note(String what) {
             if (notes.size() < MAX_NOTES_PER_REQUEST) {
-                notes.add((System.nanoTime() - startedAt) / 1_000_000 + " ms: " + what);
+                notes.add((System.nanoTime() - startedNanos) / 1_000_000 + " ms: " + what);
             }
         }
 
@@ -46,7 +46,7 @@
         return trace;
     }
 
-    /** Returns what happened to a request, if it is still remembered. */
+    /** Returns the notes of a request, or empty if its trace is no longer kept. */
     public Optional<List<String>> notes(String requestId) {
         synchronized (traces) {
             return Optional.ofNullable(traces.get(requestId)).map(Trace::notes);
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The entry role: placement, attempts, retries and what the caller is told. */
+/** The entry role: placement, attempts, retries and the results returned to callers. */
 @NullMarked
 package org.quetzalseam.daemon.entry;
 
