--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/AttemptEnded.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/AttemptEnded.java
@@ -10,7 +10,10 @@
         NONE,
         /** Another attempt may follow, within the owner's retry budget. */
         RETRY,
-        /** Another attempt may follow without using the budget: the endpoint shuts down or was lost before any work began. */
+        /**
+         * Another attempt may follow without using the budget: the endpoint shuts down or was lost before any work
+         * began.
+         */
         RETRY_FREE
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
@@ -36,15 +36,15 @@
 import org.quetzalseam.wire.runtime.TimerService.Subscription;
 
 /**
- * An entry's link to one endpoint: the connection, the known state of the endpoint, and the attempts that this entry has
- * in flight there. Thread-safe.
+ * An entry's link to one endpoint: the connection, the known state of the endpoint, and the attempts that this entry
+ * has in flight there. Thread-safe.
  *
  * <p>After a lost connection the link resumes its attempts if the same incarnation of the endpoint answers within the
  * lease; otherwise each of them receives {@link AttemptEvent.Lost}.
  *
- * <p>The connection, the known state of the process at its other end, and the attempts in flight there change under one
- * lock: an attempt begun between two of these changes would be treated as one of the previous process, and reported lost
- * while it runs. Nothing that takes other locks, such as the site's state, is called under this lock.
+ * <p>The connection, the known state of the process at its other end, and the attempts in flight there change under
+ * one lock: an attempt begun between two of these changes would be treated as one of the previous process, and
+ * reported lost while it runs. Nothing that takes other locks, such as the site's state, is called under this lock.
  */
 final class EndpointLink implements Service, Dialer.Listener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -224,8 +224,8 @@
     }
 
     /**
-     * Sends a further order of an attempt. If the order is lost, resuming the attempt detects it. Returns false when the
-     * order certainly was not sent, such as when the process that has the attempt was replaced.
+     * Sends a further order of an attempt. If the order is lost, resuming the attempt detects it. Returns false when
+     * the order certainly was not sent, such as when the process that has the attempt was replaced.
      */
     boolean send(AttemptMessage order) {
         synchronized (lock) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
@@ -201,8 +201,8 @@
     }
 
     /**
-     * Chooses an endpoint as {@link #choose} does, and an excluded one when no other is usable. When none is usable at all,
-     * waits for one, such as after a lost connection, for at most the given milliseconds.
+     * Chooses an endpoint as {@link #choose} does, and an excluded one when no other is usable. When none is usable at
+     * all, waits for one, such as after a lost connection, for at most the given milliseconds.
      */
     Optional<EndpointLink> chooseWithin(
             long millis, WorkClass workClass, String pool, long affinity, Set<String> excluded) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
@@ -18,11 +18,11 @@
 import org.quetzalseam.wire.message.KeyFenced;
 
 /**
- * Determines whether any endpoint other than its holder has seen an idempotency key, and fences the key at all that have
- * not. Used by one thread.
+ * Determines whether any endpoint other than its holder has seen an idempotency key, and fences the key at all that
+ * have not. Used by one thread.
  *
- * <p>Endpoints that were removed are not asked: those that shut down as planned have reported which keys they had seen; of
- * those that crashed nothing is known.
+ * <p>Endpoints that were removed are not asked: those that shut down as planned have reported which keys they had
+ * seen; of those that crashed nothing is known.
  */
 final class KeyInquiry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -169,11 +169,11 @@
     }
 
     /**
-     * Waits for a connection of a link that may have just been created. The keys that an endpoint reported at shutdown are
-     * relied on only if its process is down, because the next process at its address may have seen the key since, and the
-     * link dials late. Whether the process is down or up may take a lease to show, the time for which an unresponsive process
-     * still counts as present. An endpoint that has not reported its keys leaves the answer unknown in either case, so it is
-     * not waited for that long.
+     * Waits for a connection of a link that may have just been created. The keys that an endpoint reported at shutdown
+     * are relied on only if its process is down, because the next process at its address may have seen the key since,
+     * and the link dials late. Whether the process is down or up may take a lease to show, the time for which an
+     * unresponsive process still counts as present. An endpoint that has not reported its keys leaves the answer
+     * unknown in either case, so it is not waited for that long.
      */
     private Reachability awaitReachability(EndpointLink link) {
         boolean connected = link.awaitConnected(CONNECTION_WAIT, () -> link.keysAtShutdown() == null);
@@ -219,9 +219,9 @@
     }
 
     /**
-     * Asks again where the connection has closed. Otherwise the question would be reported lost only after a lease, like other
-     * orders that may have been carried out. Asking twice is safe, because fencing a key is idempotent, and it is needed,
-     * because an endpoint that shuts down as planned leaves the question unanswered.
+     * Asks again where the connection has closed. Otherwise the question would be reported lost only after a lease,
+     * like other orders that may have been carried out. Asking twice is safe, because fencing a key is idempotent, and
+     * it is needed, because an endpoint that shuts down as planned leaves the question unanswered.
      */
     private void askAgainWhereDisconnected() {
         List<EndpointLink> disconnected =
@@ -235,7 +235,10 @@
         }
     }
 
-    /** Waits for the answers, for one lease: other code also treats an endpoint as lost if it is unresponsive for longer. */
+    /**
+     * Waits for the answers, for one lease: other code also treats an endpoint as lost if it is unresponsive for
+     * longer.
+     */
     private Finding awaitAnswers() {
         long deadlineNanos = context.timers().now() + lease().toNanos();
         while (!unanswered.isEmpty()) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
@@ -28,7 +28,10 @@
  */
 final class KeyedRun {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** Maximum wait of a call for a connection to the holder of its key: the time of tens of handshakes within one region. */
+    /**
+     * Maximum wait of a call for a connection to the holder of its key: the time of tens of handshakes within one
+     * region.
+     */
     private static final Duration CONNECTION_WAIT = Duration.ofSeconds(1);
 
     private static final int MAX_ATTEMPTS = 6;
@@ -126,10 +129,10 @@
     }
 
     /**
-     * Returns whether a holder can be reached. Waits for the first connection to a holder that has restarted as planned,
-     * because it is listed before it is connected. A holder whose connection was lost is dialled at once, and counts as
-     * unreachable as soon as it is known to be down. Nothing is sent meanwhile, so the wait has no effect on the call's
-     * outcome.
+     * Returns whether a holder can be reached. Waits for the first connection to a holder that has restarted as
+     * planned, because it is listed before it is connected. A holder whose connection was lost is dialled at once, and
+     * counts as unreachable as soon as it is known to be down. Nothing is sent meanwhile, so the wait has no effect on
+     * the call's outcome.
      */
     private static boolean isReachable(EndpointLink link) {
         return link.awaitConnected(CONNECTION_WAIT, link::neverConnected)
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/PoolHistory.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/PoolHistory.java
@@ -9,8 +9,8 @@
 import org.quetzalseam.wire.message.Vm;
 
 /**
- * Records when a pool's members last changed and which endpoints were removed, in order to decide whether a former holder
- * may have seen an idempotency key. Thread-safe. Times are nanoseconds of one monotonic clock.
+ * Records when a pool's members last changed and which endpoints were removed, in order to decide whether a former
+ * holder may have seen an idempotency key. Thread-safe. Times are nanoseconds of one monotonic clock.
  */
 final class PoolHistory {
     /**
@@ -27,7 +27,9 @@
     private boolean hasChanged;
     private final Map<String, RemovedEndpoint> removed = new HashMap<>();
 
-    /** Records the pool's members. The first list that a process reads counts as a change, as it knows no earlier one. */
+    /**
+     * Records the pool's members. The first list that a process reads counts as a change, as it knows no earlier one.
+     */
     synchronized void update(List<Vm> vms, long now) {
         listedCount = vms.size();
         Set<String> names = new HashSet<>();
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/SiteSync.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/SiteSync.java
@@ -14,8 +14,9 @@
 import org.quetzalseam.wire.message.SiteState;
 
 /**
- * Keeps the catalogue and the list of VMs of one entry as new as the newest that the store or any endpoint has. Endpoints
- * hold both for other entries, so that a change also reaches an entry that cannot read the store. Thread-safe.
+ * Keeps the catalogue and the list of VMs of one entry as new as the newest that the store or any endpoint has.
+ * Endpoints hold both for other entries, so that a change also reaches an entry that cannot read the store.
+ * Thread-safe.
  */
 final class SiteSync {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/daemon/src/test/java/org/quetzalseam/daemon/entry/EndpointLinkTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/entry/EndpointLinkTest.java
@@ -46,11 +46,11 @@
 
 class EndpointLinkTest {
     private static final Duration LIMIT = Duration.ofSeconds(10);
-    /** Longer than any test, so that nothing is given up because of time. */
+    /** Longer than any test, so that nothing ends by a timeout. */
     private static final Duration LONG = Duration.ofSeconds(60);
 
-    /** After it a link waits for a second or more before it dials again. */
-    private static final Duration RECONNECT_PAUSE = Duration.ofMillis(2_500);
+    /** Downtime after which a link waits for a second or more before it dials again. */
+    private static final Duration DOWNTIME = Duration.ofMillis(2_500);
 
     private static final Duration AT_ONCE = Duration.ofMillis(300);
     private static final int RESTARTS = 60;
@@ -101,42 +101,45 @@
         }
     }
 
-    /** An order that was given to the link, and what came of it. */
+    /** An order that the link accepted, and the inbox for the replies. */
     private record SentOrder(AttemptMessage order, Inbox inbox) {}
 
-    /** Gives orders of all kinds, one after the other, as callers do who come at every moment of a connection's opening. */
+    /**
+     * Sends orders of all kinds, each sender until one is accepted, so that orders arrive at every moment of a
+     * handshake.
+     */
     private final class Senders {
         private final EndpointLink link;
         private final AtomicInteger number = new AtomicInteger();
-        private final Queue<SentOrder> given = new ConcurrentLinkedQueue<>();
+        private final Queue<SentOrder> accepted = new ConcurrentLinkedQueue<>();
         private final List<Thread> threads = new ArrayList<>();
-        private volatile boolean ended;
+        private volatile boolean stopped;
 
         Senders(EndpointLink link) {
             this.link = link;
             for (int i = 0; i < SENDERS; i++) {
-                Thread thread = Threads.daemon("sender", this::sendUntilOneIsTaken);
+                Thread thread = Threads.daemon("sender", this::sendUntilOneIsAccepted);
                 threads.add(thread);
                 thread.start();
             }
         }
 
-        private void sendUntilOneIsTaken() {
-            while (!ended) {
+        private void sendUntilOneIsAccepted() {
+            while (!stopped) {
                 SentOrder next = new SentOrder(order(number.incrementAndGet()), new Inbox());
                 if (link.begin(next.order(), next.inbox(), 1)) {
-                    given.add(next);
+                    accepted.add(next);
                     return;
                 }
             }
         }
 
-        List<SentOrder> ended() throws InterruptedException {
+        List<SentOrder> awaitAccepted() throws InterruptedException {
             for (Thread thread : threads) {
                 thread.join(LIMIT.toMillis());
             }
-            ended = true;
-            return List.copyOf(given);
+            stopped = true;
+            return List.copyOf(accepted);
         }
     }
 
@@ -150,53 +153,54 @@
         };
     }
 
-    private void assertAnswered(SentOrder given) {
-        AttemptEvent event = given.inbox().poll(LIMIT.toMillis());
+    private void assertAnswered(SentOrder sent) {
+        AttemptEvent event = sent.inbox().poll(LIMIT.toMillis());
         assertThat(event)
                 .as(
                         "%s, which the process %s",
-                        given.order(), endpoint.took(given.order().attempt()) ? "took" : "has not got")
+                        sent.order(), endpoint.took(sent.order().attempt()) ? "took" : "has not got")
                 .isNotNull();
         assertThat(event.reply())
                 .as(
                         "%s, which the process %s",
-                        given.order(), endpoint.took(given.order().attempt()) ? "took" : "has not got")
+                        sent.order(), endpoint.took(sent.order().attempt()) ? "took" : "has not got")
                 .isNotInstanceOf(AttemptEvent.Lost.class);
     }
 
     /**
-     * Calls were told that they were lost though their endpoint was connected and had not crashed. The link used a new connection from
-     * the moment the dialer had it, and then, as the process at its other end was another than before, settled all that was in flight
-     * as lost: also what had just been sent to the new process, and ran there. In the log, {@code link-opened}, and within the same
-     * milliseconds {@code request-refused … code=endpoint-lost}. Nothing about it is particular to a kind of order.
+     * Guards against attempts reported lost although their endpoint is connected and has not crashed. This happens if
+     * the link uses a new connection before it handles its opening: since the process at the other end is a new one,
+     * the link then reports everything in flight as lost, including orders just sent to the new process, which run
+     * there. The log shows {@code link-opened} and, within the same milliseconds, {@code request-refused …
+     * code=endpoint-lost}. All kinds of orders are affected.
      */
     @Test
     void attemptsBegunWhileTheFirstConnectionOpensAreAnswered() throws InterruptedException {
         for (int i = 0; i < RESTARTS; i++) {
             EndpointLink link = link();
-            for (SentOrder given : new Senders(link).ended()) {
-                assertAnswered(given);
+            for (SentOrder sent : new Senders(link).awaitAccepted()) {
+                assertAnswered(sent);
             }
             link.stop();
         }
     }
 
-    /** The same where the endpoint has restarted at its address, so that the link knows the process before. */
+    /** The same for an endpoint that has restarted at its address, so that the link knows the previous process. */
     @Test
     void attemptsBegunWhileARestartedEndpointIsConnectedAreAnswered() throws InterruptedException {
         EndpointLink link = link();
         for (int i = 0; i < RESTARTS; i++) {
             await("a connection", link::connected);
             restart();
-            await("its end", () -> !link.connected());
-            for (SentOrder given : new Senders(link).ended()) {
-                assertAnswered(given);
+            await("the end of the connection", () -> !link.connected());
+            for (SentOrder sent : new Senders(link).awaitAccepted()) {
+                assertAnswered(sent);
             }
         }
         link.stop();
     }
 
-    /** Whoever waits for the first connection must not find it there and the link without it, or the other way round. */
+    /** The connection and the link's state must change together: neither may be seen without the other. */
     @Test
     void waitingForTheFirstConnectionYieldsAConnectedLink() {
         for (int i = 0; i < RESTARTS; i++) {
@@ -208,15 +212,15 @@
         }
     }
 
-    /** A process that left as planned is full of its end; the one after it isn't. */
+    /** The load reports of a draining process state that it drains; those of its successor do not. */
     @Test
     void aRestartedProcessDoesNotInheritTheDrainingStateOfThePreviousOne() {
         EndpointLink link = link();
         await("a connection", link::connected);
         endpoint.sendToAll(new HeartbeatAck(new Load(0, 0, 0, 0, 0, true), 0, 0));
-        await("word that it leaves", link::isDraining);
+        await("the report that it drains", link::isDraining);
         restart();
-        await("its end", () -> !link.connected());
+        await("the end of the connection", () -> !link.connected());
         await("a connection", link::connected);
         assertThat(link.isDraining()).isFalse();
         link.stop();
@@ -227,22 +231,24 @@
         EndpointLink link = link();
         await("a connection", link::connected);
         endpoint.sendToAll(new Leaving(List.of()));
-        await("the word that it is known", () -> endpoint.isLeavingAcknowledged());
+        await("the acknowledgement of its shutdown", () -> endpoint.isLeavingAcknowledged());
         assertThat(link.begin(order(1), new Inbox(), 1)).isFalse();
         link.stop();
     }
 
-    /** Whoever holds a connection only to ask for the newest state kept a leaving endpoint waiting for a whole lease. */
+    /**
+     * Otherwise a connection that only requests the newest state keeps a draining endpoint waiting for a whole lease.
+     */
     @Test
     void aDrainingEndpointReceivesAnAcknowledgementFromASeedInquiryToo() {
         SeedInquiry inquiry = new SeedInquiry(List.of(new Seed("127.0.0.1", endpoint.port())), context);
         inquiry.start();
         endpoint.sendToAll(new Leaving(List.of()));
-        await("the word that it is known", () -> endpoint.isLeavingAcknowledged());
+        await("the acknowledgement of its shutdown", () -> endpoint.isLeavingAcknowledged());
         inquiry.stop();
     }
 
-    /** The last message of a process may still be read when the next one is connected. */
+    /** The last message of a process may still be read after the next process is connected. */
     @Test
     void lateMessagesOfAnEarlierProcessAreNotAttributedToTheCurrentOne() {
         EndpointLink link = link();
@@ -252,9 +258,9 @@
         Dialer dialer =
                 new Dialer("127.0.0.1", earlier.port(), self, SiteKey.loopback(), Transport.plain(), timers, late);
         dialer.start();
-        await("the earlier process's last words", () -> {
+        await("the last messages of the earlier process", () -> {
             earlier.sendToAll(new Leaving(List.of("key")));
-            return late.passedOn > 0;
+            return late.forwarded > 0;
         });
         assertThat(link.isDraining()).isFalse();
         assertThat(link.keysAtShutdown()).isNull();
@@ -264,8 +270,9 @@
     }
 
     /**
-     * A link dials a process that was down again after up to two seconds. Until then it went by that process's last word on its keys, even
-     * where another one had long been up at its address and had seen more. Whoever needs to know makes it dial at once.
+     * After a process was down, the link may dial again only after up to two seconds. Until then it would rely on the
+     * keys that the process reported last, even if a new process is up at its address and has seen more keys. A check
+     * of reachability therefore dials at once.
      */
     @Test
     void aRestartedEndpointIsReachedAtOnceOnRequest() {
@@ -273,8 +280,8 @@
         await("a connection", link::connected);
         int port = endpoint.port();
         endpoint.stop();
-        await("its end", () -> !link.connected());
-        LockSupport.parkNanos(RECONNECT_PAUSE.toNanos());
+        await("the end of the connection", () -> !link.connected());
+        LockSupport.parkNanos(DOWNTIME.toNanos());
         endpoint = FakeEndpoint.start(port);
         assertThat(link.checkReachability(AT_ONCE)).isEqualTo(EndpointLink.Reachability.CONNECTED);
         link.stop();
@@ -285,7 +292,7 @@
         EndpointLink link = link();
         await("a connection", link::connected);
         endpoint.stop();
-        await("its end", () -> !link.connected());
+        await("the end of the connection", () -> !link.connected());
         assertThat(link.checkReachability(LIMIT)).isEqualTo(EndpointLink.Reachability.DOWN);
         link.stop();
     }
@@ -296,19 +303,19 @@
         await("a connection", link::connected);
         int port = endpoint.port();
         endpoint.stop();
-        await("its end", () -> !link.connected());
-        try (ServerSocket silent = new ServerSocket()) {
-            silent.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            LockSupport.parkNanos(RECONNECT_PAUSE.toNanos());
+        await("the end of the connection", () -> !link.connected());
+        try (ServerSocket unresponsive = new ServerSocket()) {
+            unresponsive.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+            LockSupport.parkNanos(DOWNTIME.toNanos());
             assertThat(link.checkReachability(AT_ONCE)).isEqualTo(EndpointLink.Reachability.UNKNOWN);
         }
         link.stop();
     }
 
-    /** Passes on to a link what comes on another process's connection. */
+    /** Forwards to a link the messages of another process's connection. */
     private static final class LateMessages implements Dialer.Listener {
         private final EndpointLink link;
-        private volatile int passedOn;
+        private volatile int forwarded;
 
         LateMessages(EndpointLink link) {
             this.link = link;
@@ -316,18 +323,18 @@
 
         @Override
         public void opened(Connection connection) {
-            // It is the messages that count.
+            // Only messages are forwarded.
         }
 
         @Override
         public synchronized void received(Connection connection, Message message) {
             link.received(connection, message);
-            passedOn++;
+            forwarded++;
         }
 
         @Override
         public void closed(Connection connection) {
-            // The test ends it.
+            // Only messages are forwarded.
         }
     }
 }
--- a/daemon/src/test/java/org/quetzalseam/daemon/entry/FakeEndpoint.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/entry/FakeEndpoint.java
@@ -27,7 +27,7 @@
 import org.quetzalseam.wire.message.Prefilled;
 import org.quetzalseam.wire.message.Role;
 
-/** One process of an endpoint, which answers each first order of an attempt at once. Thread-safe. */
+/** A process of an endpoint that answers each first order of an attempt at once. Thread-safe. */
 final class FakeEndpoint implements Connection.Listener {
     private static final Load LOAD = Load.unknown();
     private static final Duration PORT_WAIT = Duration.ofSeconds(5);
@@ -50,7 +50,10 @@
                 connections::add);
     }
 
-    /** Starts a process on a port, or on any free one when that is 0. The port of a process that has just ended is waited for. */
+    /**
+     * Starts a process on a port, or on any free one if it is 0. Waits until a process that has just ended frees the
+     * port.
+     */
     static FakeEndpoint start(int port) {
         long end = System.nanoTime() + PORT_WAIT.toNanos();
         while (true) {
@@ -77,12 +80,15 @@
         return received.contains(id);
     }
 
-    /** Returns whether an entry has said that it knows of the process's leaving. */
+    /** Returns whether an entry has acknowledged the process's shutdown. */
     boolean isLeavingAcknowledged() {
         return leavingAcknowledged;
     }
 
-    /** Sends a message to every entry. The first is waited for: it ends its handshake, and is connected, before this process does. */
+    /**
+     * Sends a message to every connected entry. Waits for the first, because an entry ends the handshake, and is
+     * connected, before this process does.
+     */
     void sendToAll(Message message) {
         long end = System.nanoTime() + CONNECTION_WAIT.toNanos();
         while (connections.isEmpty() && System.nanoTime() - end < 0) {
