--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
@@ -45,7 +45,7 @@
                 trace.note(
                         "attempt " + id.number() + " ended: " + ended.result().code());
                 if (!mayRetry(ended, id)) {
-                    return report(ended.result(), ran);
+                    return finalResult(ended.result(), ran);
                 }
             }
             id = id.next();
@@ -65,7 +65,7 @@
     }
 
     /** Returns the final result: a request counts as not run only if none of its attempts has run. */
-    private static RunResult report(RunResult last, boolean ran) {
+    private static RunResult finalResult(RunResult last, boolean ran) {
         if (last.outcome() != Outcome.NOT_RUN || !ran) {
             return last;
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
@@ -189,13 +189,13 @@
 
     /** Returns the endpoint as input to placement, including the work sent by this entry since its last load report. */
     Candidate candidate(WorkClass workClass) {
-        Load now = load;
-        long added = sentCost.get() * now.nanosPerCost() / Duration.ofMillis(1).toNanos();
+        Load latest = load;
+        long addedMillis = sentCost.get() * latest.nanosPerCost() / Duration.ofMillis(1).toNanos();
         return new Candidate(
                 vm.name(),
                 vm.zone(),
-                now.free() - sentCount.get(),
-                (workClass == WorkClass.SHORT ? now.shortBacklogMillis() : now.backlogMillis()) + added);
+                latest.free() - sentCount.get(),
+                (workClass == WorkClass.SHORT ? latest.shortBacklogMillis() : latest.backlogMillis()) + addedMillis);
     }
 
     Load load() {
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
@@ -202,11 +202,11 @@
 
     /**
      * Chooses an endpoint as {@link #choose} does, and an excluded one when no other is usable. When none is usable at
-     * all, waits for one, such as after a lost connection, for at most the given milliseconds.
+     * all, waits for one, such as after a lost connection, for at most {@code maxWaitMillis}.
      */
     Optional<EndpointLink> chooseWithin(
-            long millis, WorkClass workClass, String pool, long affinity, Set<String> excluded) {
-        long endNanos = System.nanoTime() + Duration.ofMillis(millis).toNanos();
+            long maxWaitMillis, WorkClass workClass, String pool, long affinity, Set<String> excluded) {
+        long endNanos = System.nanoTime() + Duration.ofMillis(maxWaitMillis).toNanos();
         while (true) {
             Optional<EndpointLink> link =
                     choose(workClass, pool, affinity, excluded).or(() -> choose(workClass, pool, affinity, Set.of()));
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
@@ -45,7 +45,7 @@
         UNKNOWN
     }
 
-    /** Why the answer of an inquiry is unknown; written to the log under its own name. */
+    /** Why the answer of an inquiry is unknown. The names of the constants are written to the log. */
     private enum UnknownReason {
         /** The newest list of VMs could not be read. */
         LIST_UNREADABLE,
@@ -135,7 +135,7 @@
                 .removedWithin(retentionNanos, context.timers().now());
     }
 
-    /** Asks all endpoints, and those listed meanwhile, such as one that has restarted at another address. */
+    /** Asks all endpoints but the holder, also those listed meanwhile, such as one restarted at another address. */
     private void askAll() {
         boolean asking = true;
         while (asking) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
@@ -44,7 +44,7 @@
     private final Trace trace;
     private final String key;
     private final String fingerprint;
-    private final long mintedAt;
+    private final long mintedAtMillis;
     private final Set<String> excluded = new HashSet<>();
     private AttemptId id;
 
@@ -54,7 +54,7 @@
         this.attempts = attempts;
         this.trace = trace;
         this.id = request.requestId().firstAttempt();
-        this.mintedAt = KeyTimestamp.mintedAtMillis(rawKey).orElse(0);
+        this.mintedAtMillis = KeyTimestamp.mintedAtMillis(rawKey).orElse(0);
         String scope = request.entry().owner() + '\n' + request.service().name() + '\n';
         this.key = Digests.of(scope + rawKey).substring(0, KEY_DIGITS);
         this.fingerprint = Digests.of(request.method() + '\n' + request.path() + '\n' + Digests.of(request.body()))
@@ -141,7 +141,7 @@
 
     private KeyInquiry inquiry(EndpointLink holder) {
         long retention = context.settings().timing().keyRetention().toNanos();
-        return new KeyInquiry(context, request.service().pool(), holder, key, mintedAt, id, retention);
+        return new KeyInquiry(context, request.service().pool(), holder, key, mintedAtMillis, id, retention);
     }
 
     /** Returns the holder of the key among the endpoints that are not draining or excluded. */
@@ -162,10 +162,10 @@
     private KeyUse keyUse(long fencedFor) {
         long now = context.timers().now();
         // That an endpoint is draining may be known to this entry only from the refusal just received.
-        long unchanged = excluded.isEmpty()
+        long unchangedMillis = excluded.isEmpty()
                 ? context.fleet().history(request.service().pool()).unchangedMillis(now)
                 : 0;
-        return new KeyUse(key, fingerprint, mintedAt, unchanged, context.site().membersVersion(), fencedFor);
+        return new KeyUse(key, fingerprint, mintedAtMillis, unchangedMillis, context.site().membersVersion(), fencedFor);
     }
 
     private static ServiceResult unknown(String code, String message) {
