--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
@@ -190,7 +190,8 @@
     /** Returns the endpoint as input to placement, including the work sent by this entry since its last load report. */
     Candidate candidate(WorkClass workClass) {
         Load latest = load;
-        long addedMillis = sentCost.get() * latest.nanosPerCost() / Duration.ofMillis(1).toNanos();
+        long addedMillis =
+                sentCost.get() * latest.nanosPerCost() / Duration.ofMillis(1).toNanos();
         return new Candidate(
                 vm.name(),
                 vm.zone(),
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyedRun.java
@@ -165,7 +165,13 @@
         long unchangedMillis = excluded.isEmpty()
                 ? context.fleet().history(request.service().pool()).unchangedMillis(now)
                 : 0;
-        return new KeyUse(key, fingerprint, mintedAtMillis, unchangedMillis, context.site().membersVersion(), fencedFor);
+        return new KeyUse(
+                key,
+                fingerprint,
+                mintedAtMillis,
+                unchangedMillis,
+                context.site().membersVersion(),
+                fencedFor);
     }
 
     private static ServiceResult unknown(String code, String message) {
