--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceAttempt.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceAttempt.java
@@ -36,7 +36,7 @@
      * @param id the attempt
      * @param key the use of an idempotency key
      * @param waitMillis maximum wait in the endpoint's queue, in milliseconds
-     * @return {@link PendingAnswer}, {@link Refused} when the call certainly has not run, {@link Failed} when it may have run,
+     * @return {@link Answer}, {@link Refused} when the call certainly has not run, {@link Failed} when it may have run,
      *     or {@link AttemptEvent.Lost} when the endpoint is lost and it is unknown whether the call has run
      */
     AttemptReply call(EndpointLink link, AttemptId id, KeyUse key, long waitMillis) {
