--- a/gateway/src/test/java/org/quetzalseam/gateway/LeavingEntryTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/DrainingEntryTest.java
@@ -25,12 +25,12 @@
  * 3.02 s after {@code leaving} and {@code requests_cut=1} at the end; both ways in which it can have come are brought about here.
  */
 @Timeout(60)
-class LeavingEntryTest {
-    private static final String SIZE = "x-tokens: 1000";
+class DrainingEntryTest {
+    private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
     /** How long each stream of the engine lasts, in milliseconds. */
     private static final long STREAM_MILLIS = 1_500;
     /** Streams from which the entry can learn how long they last. */
-    private static final int LEARNT_FROM = 20;
+    private static final int SAMPLE_COUNT = 20;
     /** The grace period, in milliseconds: long enough for one stream that begins at once, too short for one begun later. */
     private static final long GRACE_MILLIS = 3_000;
 
@@ -43,8 +43,8 @@
 
     @BeforeEach
     void start() {
-        entry.routes(5_000, 1_000);
-        entry.endpoints(engine.member("s", Stage.DECODE), service.member("s", Stage.WHOLE));
+        entry.updateRoutes(5_000, 1_000);
+        entry.updateEndpoints(engine.member("s", Stage.DECODE), service.member("s", Stage.WHOLE));
     }
 
     @AfterEach
@@ -75,27 +75,27 @@
         }
     }
 
-    private void learnHowLongStreamsLast() {
+    private void recordStreamDurations() {
         List<CompletableFuture<String>> answers = new ArrayList<>();
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             String id = "learnt" + i;
-            answers.add(CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", id, SIZE), threads));
+            answers.add(CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", id, PROMPT_TOKENS_HEADER), threads));
         }
         answers.forEach(answer -> assertThat(answer.join()).endsWith("0\r\n\r\n"));
     }
 
     /** Ends the process as the signal to stop does: what is still under way after the grace period is cut. */
-    private void learnHowLongCallsLast() {
-        for (int i = 0; i < LEARNT_FROM; i++) {
+    private void recordCallDurations() {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/many/x", "call" + i)).startsWith("HTTP/1.1 200");
         }
     }
 
-    private CompletableFuture<Void> leave() {
-        return leave(GRACE_MILLIS);
+    private CompletableFuture<Void> shutDown() {
+        return shutDown(GRACE_MILLIS);
     }
 
-    private CompletableFuture<Void> leave(long graceMillis) {
+    private CompletableFuture<Void> shutDown(long graceMillis) {
         return CompletableFuture.runAsync(
                 () -> {
                     entry.process().drain(graceMillis);
@@ -106,22 +106,22 @@
 
     @Test
     void aStreamThatWouldOutlastTheGracePeriodIsRefusedInsteadOfCut() {
-        learnHowLongStreamsLast();
-        CompletableFuture<Void> left = leave();
+        recordStreamDurations();
+        CompletableFuture<Void> left = shutDown();
         sleep(1_300);
         int runsBefore = engine.runs().size();
-        String answer = entry.ask("/stream/x", "late", SIZE);
+        String answer = entry.ask("/stream/x", "late", PROMPT_TOKENS_HEADER);
         assertThat(answer).startsWith("HTTP/1.1 503").contains("x-come-back: ").contains("connection: close");
         assertThat(engine.runs()).as("nothing of it has run").hasSize(runsBefore);
         left.join();
     }
 
     @Test
-    void aStreamThatSurelyEndsInTheGracePeriodIsStillTaken() {
-        learnHowLongStreamsLast();
-        CompletableFuture<Void> left = leave();
+    void aStreamThatEndsWithinTheGracePeriodIsStillAccepted() {
+        recordStreamDurations();
+        CompletableFuture<Void> left = shutDown();
         sleep(100);
-        assertThat(entry.ask("/stream/x", "soon", SIZE))
+        assertThat(entry.ask("/stream/x", "soon", PROMPT_TOKENS_HEADER))
                 .startsWith("HTTP/1.1 200")
                 .endsWith("0\r\n\r\n");
         left.join();
@@ -132,59 +132,59 @@
      * calls are answered long after the balancer must have noticed, as nobody else may be there; and the end comes in time.
      */
     @Test
-    void anEntryThatIsNeverEmptyCutsNothingAndServesWhatItCanUntilItEnds() {
-        learnHowLongStreamsLast();
-        learnHowLongCallsLast();
+    void anEntryUnderConstantLoadCutsNothingAndServesWhatItCanUntilItEnds() {
+        recordStreamDurations();
+        recordCallDurations();
         long grace = 5_000;
         long begun = System.nanoTime();
-        CompletableFuture<Void> left = leave(grace);
+        CompletableFuture<Void> left = shutDown(grace);
         List<CompletableFuture<String>> streams = new ArrayList<>();
         long lastServed = 0;
         while (!left.isDone()) {
             String id = "r" + streams.size();
-            streams.add(CompletableFuture.supplyAsync(() -> askUnlessGone("/stream/x", id), threads));
-            String quick = askUnlessGone("/many/x", id + "q");
+            streams.add(CompletableFuture.supplyAsync(() -> askOrEmpty("/stream/x", id), threads));
+            String quick = askOrEmpty("/many/x", id + "q");
             if (quick.startsWith("HTTP/1.1 200")) {
-                lastServed = sinceMillis(begun);
+                lastServed = elapsedMillis(begun);
             } else {
-                assertThat(quick).matches(LeavingEntryTest::refusedOrUnread);
+                assertThat(quick).matches(DrainingEntryTest::isRefusedOrUnread);
             }
             sleep(20);
         }
-        assertThat(sinceMillis(begun)).isBetween(grace - 1_000, grace);
+        assertThat(elapsedMillis(begun)).isBetween(grace - 1_000, grace);
         assertThat(lastServed).isGreaterThan(grace - 1_500);
         assertThat(streams)
                 .extracting(CompletableFuture::join)
-                .allMatch(answer -> answer.endsWith("0\r\n\r\n") || refusedOrUnread(answer))
+                .allMatch(answer -> answer.endsWith("0\r\n\r\n") || isRefusedOrUnread(answer))
                 .anyMatch(answer -> answer.startsWith("HTTP/1.1 503"))
                 .anyMatch(answer -> answer.startsWith("HTTP/1.1 200"));
     }
 
-    private static long sinceMillis(long nanos) {
+    private static long elapsedMillis(long nanos) {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
 
     /** Returns nothing where the entry has gone, or goes before it has read the request. */
-    private String askUnlessGone(String path, String id) {
+    private String askOrEmpty(String path, String id) {
         try {
-            return entry.ask(path, id, SIZE);
+            return entry.ask(path, id, PROMPT_TOKENS_HEADER);
         } catch (IllegalStateException gone) {
             return "";
         }
     }
 
-    private static boolean refusedOrUnread(String answer) {
+    private static boolean isRefusedOrUnread(String answer) {
         boolean refused = answer.startsWith("HTTP/1.1 503") && answer.contains("x-come-back: ");
         return refused || answer.isEmpty() || answer.equals(" [reset]");
     }
 
     @Test
-    void aRequestWhoseLastBytesComeLateInTheGracePeriodIsRefusedInsteadOfCut() {
+    void aRequestWhoseLastBytesArriveLateInTheGracePeriodIsRefusedInsteadOfCut() {
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.write(
-                    "POST /stream/x HTTP/1.1\r\nHost: h\r\nx-id: slow\r\n" + SIZE + "\r\nContent-Length: 2\r\n\r\nh");
+            caller.write("POST /stream/x HTTP/1.1\r\nHost: h\r\nx-id: slow\r\n" + PROMPT_TOKENS_HEADER
+                    + "\r\nContent-Length: 2\r\n\r\nh");
             sleep(100);
-            CompletableFuture<Void> left = leave();
+            CompletableFuture<Void> left = shutDown();
             sleep(1_300);
             caller.write("i");
             assertThat(caller.readAll()).startsWith("HTTP/1.1 503").contains("x-come-back: ");
--- a/gateway/src/test/java/org/quetzalseam/gateway/EndOfLeavingTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/EntryShutdownTest.java
@@ -23,35 +23,35 @@
 
 /** What becomes of the requests that a leaving entry has, when it ends and when something goes wrong before that. */
 @Timeout(60)
-class EndOfLeavingTest {
-    private static final String SIZE = "x-tokens: 1000";
+class EntryShutdownTest {
+    private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
     /** How long each whole stream of the engine lasts, in milliseconds. */
     private static final long STREAM_MILLIS = 1_500;
     /** Streams from which the entry can learn how long they last. */
-    private static final int LEARNT_FROM = 20;
+    private static final int SAMPLE_COUNT = 20;
     /** The grace period, in milliseconds: long enough for one stream that begins at once, too short for one begun later. */
     private static final long GRACE_MILLIS = 3_000;
     /** A body that doesn't fit the buffers between an entry and a caller who doesn't read. */
     private static final int LARGE_BYTES = 7 * 1024 * 1024;
     /** What a caller who reads late lets in before that, in bytes. */
-    private static final int SMALL_WINDOW = 16 * 1024;
+    private static final int SMALL_WINDOW_BYTES = 16 * 1024;
 
     private final TestEntry entry = new TestEntry();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final CompletableFuture<Void> arrived = new CompletableFuture<>();
-    private final CompletableFuture<Void> goOn = new CompletableFuture<>();
+    private final CompletableFuture<Void> mayAnswer = new CompletableFuture<>();
     private final ScriptedEndpoint engine = new ScriptedEndpoint("engine", this::slowStream);
     private final ScriptedEndpoint service = new ScriptedEndpoint("service", this::largeAnswer);
 
     @BeforeEach
     void start() {
-        entry.routes(20_000, 1_000);
-        entry.endpoints(engine.member("s", Stage.DECODE), service.member("s", Stage.WHOLE));
+        entry.updateRoutes(20_000, 1_000);
+        entry.updateEndpoints(engine.member("s", Stage.DECODE), service.member("s", Stage.WHOLE));
     }
 
     @AfterEach
     void stop() {
-        goOn.complete(null);
+        mayAnswer.complete(null);
         entry.close();
         engine.close();
         service.close();
@@ -72,7 +72,7 @@
 
     private void largeAnswer(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
         arrived.complete(null);
-        goOn.join();
+        mayAnswer.join();
         connection.answer(request, "x".repeat(LARGE_BYTES));
     }
 
@@ -84,17 +84,17 @@
         }
     }
 
-    private void learnHowLongStreamsLast(String path) {
+    private void recordStreamDurations(String path) {
         List<CompletableFuture<String>> answers = new ArrayList<>();
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             String id = "learnt" + i;
-            answers.add(CompletableFuture.supplyAsync(() -> entry.ask(path, id, SIZE), threads));
+            answers.add(CompletableFuture.supplyAsync(() -> entry.ask(path, id, PROMPT_TOKENS_HEADER), threads));
         }
         answers.forEach(answer -> assertThat(answer.join()).endsWith("0\r\n\r\n"));
     }
 
     /** Ends the process as the signal to stop does: what is still under way after the grace period is cut. */
-    private CompletableFuture<Void> leave(long graceMillis) {
+    private CompletableFuture<Void> shutDown(long graceMillis) {
         return CompletableFuture.runAsync(
                 () -> {
                     entry.process().drain(graceMillis);
@@ -103,13 +103,13 @@
                 threads);
     }
 
-    private static String call(String id) {
+    private static String requestText(String id) {
         return "POST /once/x HTTP/1.1\r\nHost: h\r\nx-id: " + id + "\r\nx-patience: 20000\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private Socket callerWhoReadsLate() throws IOException {
+    private Socket connectWithSmallWindow() throws IOException {
         Socket socket = new Socket();
-        socket.setReceiveBufferSize(SMALL_WINDOW);
+        socket.setReceiveBufferSize(SMALL_WINDOW_BYTES);
         InetSocketAddress address = entry.address();
         socket.connect(address);
         return socket;
@@ -133,11 +133,11 @@
 
     /** The one behind waits for its turn and is never begun: it must not take the connection from the one before it. */
     @Test
-    void whoIsCutAtTheEndIsToldSoThoughAnotherRequestWaitsBehind() throws Exception {
+    void aRequestCutAtTheEndGetsAnErrorAlthoughAnotherIsQueuedBehindIt() throws Exception {
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.write(call("first") + call("second"));
+            caller.write(requestText("first") + requestText("second"));
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = leave(800);
+            CompletableFuture<Void> left = shutDown(800);
             assertThat(caller.readAll()).startsWith("HTTP/1.1 502").contains("this entry stops");
             left.join();
         }
@@ -146,12 +146,12 @@
 
     /** The answer has been handed to the connection, not to the caller: the process mustn't end with it. */
     @Test
-    void anAnswerThatItsCallerReadsSlowlyIsWholeThoughNothingElseIsUnderWay() throws Exception {
-        try (Socket caller = callerWhoReadsLate()) {
-            write(caller, call("slow"));
-            goOn.complete(null);
+    void anAnswerThatItsCallerReadsSlowlyIsCompleteAlthoughNothingElseIsInProgress() throws Exception {
+        try (Socket caller = connectWithSmallWindow()) {
+            write(caller, requestText("slow"));
+            mayAnswer.complete(null);
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = leave(12_000);
+            CompletableFuture<Void> left = shutDown(12_000);
             sleep(5_000);
             assertThat(readAll(caller)).isGreaterThan(LARGE_BYTES);
             left.join();
@@ -164,7 +164,7 @@
         try (TestEntry.Caller caller = entry.caller()) {
             caller.write("POST /once/x HTTP/1.1\r\nHost: h\r\nx-id: long\r\nContent-Length: 2\r\n\r\nh");
             sleep(100);
-            CompletableFuture<Void> left = leave(8_000);
+            CompletableFuture<Void> left = shutDown(8_000);
             sleep(4_000);
             caller.write("i");
             assertThat(caller.readAll()).startsWith("HTTP/1.1 503").contains("x-come-back: ");
@@ -173,19 +173,19 @@
     }
 
     @Test
-    void anEntryThatHasNothingLeftToDoEndsLongBeforeItsTimeIsUp() throws Exception {
+    void anEntryWithNothingInProgressEndsLongBeforeItsGracePeriod() throws Exception {
         service.script((request, connection) -> {
             arrived.complete(null);
-            goOn.join();
+            mayAnswer.join();
             connection.answer(request, "late but whole");
         });
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.write(call("last"));
+            caller.write(requestText("last"));
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = leave(60_000);
+            CompletableFuture<Void> left = shutDown(60_000);
             sleep(4_000);
             assertThat(left).as("something is under way").isNotDone();
-            goOn.complete(null);
+            mayAnswer.complete(null);
             assertThat(caller.readAll()).endsWith("late but whole");
             left.get(5, TimeUnit.SECONDS);
         }
@@ -196,16 +196,16 @@
      * could be passed on and not be answered any more.
      */
     @Test
-    void aRequestThatComesWhenTheEntryHasEndedIsNotPassedOn() throws Exception {
+    void aRequestThatArrivesWhenTheEntryHasEndedIsNotForwarded() throws Exception {
         service.script((request, connection) -> connection.answer(request, "whole"));
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.write(call("before"));
+            caller.write(requestText("before"));
             awaitFirstRun();
             assertThat(service.runs()).hasSize(1);
-            CompletableFuture<Void> left = leave(60_000);
+            CompletableFuture<Void> left = shutDown(60_000);
             awaitClosedListener();
             try {
-                caller.write(call("crossing"));
+                caller.write(requestText("crossing"));
             } catch (IllegalStateException expected) {
                 // The connection is closed already.
             }
@@ -236,16 +236,16 @@
     @Test
     void aRequestBehindAnAnswerThatClosesTheConnectionIsNotRun() throws Exception {
         service.script((request, connection) -> connection.answer(request, "quick"));
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/once/x", "learnt" + i)).startsWith("HTTP/1.1 200");
         }
         service.script(this::largeAnswer);
-        try (Socket caller = callerWhoReadsLate()) {
-            write(caller, call("first") + call("second"));
+        try (Socket caller = connectWithSmallWindow()) {
+            write(caller, requestText("first") + requestText("second"));
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = leave(8_000);
+            CompletableFuture<Void> left = shutDown(8_000);
             sleep(200);
-            goOn.complete(null);
+            mayAnswer.complete(null);
             sleep(1_000);
             assertThat(readAll(caller)).as("the first answer is whole").isGreaterThan(LARGE_BYTES);
             left.join();
@@ -258,8 +258,8 @@
 
     /** What is left of it is shorter than a whole one, and it can't be refused any more: its caller has a part of it. */
     @Test
-    void aStreamThatHasBegunGoesOnAtAnotherEngineThoughAWholeOneWouldNotEndInTime() throws Exception {
-        learnHowLongStreamsLast("/resumable/x");
+    void aStartedStreamResumesAtAnotherEngineAlthoughACompleteOneWouldNotEndInTime() throws Exception {
+        recordStreamDurations("/resumable/x");
         engine.script((request, connection) -> {
             if (request.path().startsWith("/control/")) {
                 connection.answer(request, "booking");
@@ -276,21 +276,21 @@
             connection.endStream();
         });
         CompletableFuture<String> answer =
-                CompletableFuture.supplyAsync(() -> entry.ask("/resumable/x", "broken", SIZE), threads);
+                CompletableFuture.supplyAsync(() -> entry.ask("/resumable/x", "broken", PROMPT_TOKENS_HEADER), threads);
         sleep(200);
-        CompletableFuture<Void> left = leave(GRACE_MILLIS);
+        CompletableFuture<Void> left = shutDown(GRACE_MILLIS);
         assertThat(answer.join()).contains("id: 1").contains("id: 2").endsWith("0\r\n\r\n");
         left.join();
     }
 
     /** A full service has room again long before this entry ends, which still takes such calls. */
     @Test
-    void whoFindsAServiceFullIsNotToldToWaitForTheSuccessorOfAnEntryThatWouldServeItSooner() {
+    void aCallRefusedByAFullServiceIsNotToldToWaitUntilTheDrainingEntryIsReplaced() {
         service.script((request, connection) -> connection.answer(request, "quick"));
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/once/x", "learnt" + i)).startsWith("HTTP/1.1 200");
         }
-        CompletableFuture<Void> left = leave(8_000);
+        CompletableFuture<Void> left = shutDown(8_000);
         service.script((request, connection) -> connection.reject(request));
         for (int i = 0; i < 33; i++) {
             entry.ask("/once/x", "kept" + i);
@@ -299,12 +299,12 @@
         String refused = entry.ask("/once/x", "full");
         service.script((request, connection) -> connection.answer(request, "quick"));
         assertThat(refused).startsWith("HTTP/1.1 503").contains("the service is full");
-        assertThat(comeBackMillis(refused)).isLessThan(1_000);
+        assertThat(retryAfterMillis(refused)).isLessThan(1_000);
         assertThat(entry.ask("/once/x", "again")).startsWith("HTTP/1.1 200");
         left.join();
     }
 
-    private static long comeBackMillis(String answer) {
+    private static long retryAfterMillis(String answer) {
         String name = "x-come-back: ";
         int at = answer.indexOf(name) + name.length();
         return Long.parseLong(answer.substring(at, answer.indexOf('\r', at)));
@@ -312,13 +312,13 @@
 
     /** A connection that ends without an answer says nothing: its request must not have reached anybody. */
     @Test
-    void whoGetsNoAnswerAtTheEndHasNotRun() {
+    void aRequestWithoutAnAnswerAtTheEndHasNotRun() {
         service.script((request, connection) -> connection.answer(request, "quick"));
-        learnHowLongStreamsLast("/stream/x");
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        recordStreamDurations("/stream/x");
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/once/x", "learnt" + i)).startsWith("HTTP/1.1 200");
         }
-        CompletableFuture<Void> left = leave(GRACE_MILLIS);
+        CompletableFuture<Void> left = shutDown(GRACE_MILLIS);
         List<CompletableFuture<List<String>>> answers = new ArrayList<>();
         while (!left.isDone()) {
             answers.add(ask("/once/x", "call" + answers.size()));
@@ -340,7 +340,7 @@
         return CompletableFuture.supplyAsync(
                 () -> {
                     try {
-                        return List.of(id, entry.ask(path, id, SIZE));
+                        return List.of(id, entry.ask(path, id, PROMPT_TOKENS_HEADER));
                     } catch (IllegalStateException gone) {
                         return List.of(id, "");
                     }
@@ -349,25 +349,25 @@
     }
 
     @Test
-    void aSecondSignalDoesNotPutOffTheTimeByWhichRequestsMustEnd() {
-        learnHowLongStreamsLast("/stream/x");
-        CompletableFuture<Void> left = leave(GRACE_MILLIS);
+    void aSecondSignalDoesNotPostponeTheEndOfTheGracePeriod() {
+        recordStreamDurations("/stream/x");
+        CompletableFuture<Void> left = shutDown(GRACE_MILLIS);
         sleep(1_300);
-        CompletableFuture<Void> again = leave(GRACE_MILLIS);
+        CompletableFuture<Void> again = shutDown(GRACE_MILLIS);
         sleep(100);
-        assertThat(entry.ask("/stream/x", "late", SIZE)).startsWith("HTTP/1.1 503");
+        assertThat(entry.ask("/stream/x", "late", PROMPT_TOKENS_HEADER)).startsWith("HTTP/1.1 503");
         left.join();
         again.join();
     }
 
     /** Without a length or chunks its end is the connection's: an orderly one would say that it is complete. */
     @Test
-    void anAnswerThatOnlyTheConnectionEndsDoesNotLookCompleteWhenItIsCut() throws Exception {
+    void anAnswerDelimitedByTheConnectionDoesNotLookCompleteWhenItIsCut() throws Exception {
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.write(
-                    "POST /stream/x HTTP/1.0\r\nHost: h\r\nx-id: old\r\n" + SIZE + "\r\nContent-Length: 0\r\n\r\n");
+            caller.write("POST /stream/x HTTP/1.0\r\nHost: h\r\nx-id: old\r\n" + PROMPT_TOKENS_HEADER
+                    + "\r\nContent-Length: 0\r\n\r\n");
             assertThat(caller.readUntil("data: a\n\n")).startsWith("HTTP/1.1 200");
-            CompletableFuture<Void> left = leave(600);
+            CompletableFuture<Void> left = shutDown(600);
             assertThat(caller.readAll()).endsWith("[reset]");
             left.join();
         }
@@ -375,17 +375,17 @@
 
     /** Failures come faster than what they stand for: they tell nothing of how long a good answer takes. */
     @Test
-    void failuresThatComeQuicklyDoNotMakeALongCallLookShort() {
+    void quickFailuresDoNotLowerTheExpectedDurationOfACall() {
         service.script((request, connection) -> connection.write("HTTP/1.1 500 Failed\r\nx-id: "
                 + request.header("x-id") + "\r\nx-signature: s\r\nContent-Length: 0\r\n\r\n"));
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             entry.ask("/once/x", "failed" + i);
         }
         service.script((request, connection) -> {
             sleep(STREAM_MILLIS);
             connection.answer(request, "good");
         });
-        CompletableFuture<Void> left = leave(1_500);
+        CompletableFuture<Void> left = shutDown(1_500);
         sleep(100);
         assertThat(entry.ask("/once/x", "long")).startsWith("HTTP/1.1 503");
         left.join();
--- a/gateway/src/test/java/org/quetzalseam/gateway/GenerationTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/GenerationTest.java
@@ -15,18 +15,18 @@
 import org.quetzalseam.standins.raw.RawRequest;
 
 class GenerationTest {
-    private static final String SIZE = "x-tokens: 1000";
+    private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
 
     private final TestEntry entry = new TestEntry();
     private final AtomicInteger bookings = new AtomicInteger();
     private final AtomicBoolean full = new AtomicBoolean();
-    private final ScriptedEndpoint prefill = new ScriptedEndpoint("prefill", this::prefilled);
+    private final ScriptedEndpoint prefill = new ScriptedEndpoint("prefill", this::answerPrefill);
     private final ScriptedEndpoint decode = new ScriptedEndpoint("decode", engine(this::twoEvents));
 
     @BeforeEach
     void start() {
-        entry.routes(5_000);
-        entry.endpoints(prefill.member("s", Stage.PREFILL), decode.member("s", Stage.DECODE));
+        entry.updateRoutes(5_000);
+        entry.updateEndpoints(prefill.member("s", Stage.PREFILL), decode.member("s", Stage.DECODE));
     }
 
     @AfterEach
@@ -36,7 +36,7 @@
         decode.close();
     }
 
-    private void prefilled(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
+    private void answerPrefill(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
         connection.answer(request, request.path().startsWith("/control/") ? "" : "kv1");
     }
 
@@ -62,7 +62,7 @@
         connection.endStream();
     }
 
-    private List<String> controls(ScriptedEndpoint endpoint, String prefix) {
+    private List<String> controlPaths(ScriptedEndpoint endpoint, String prefix) {
         return endpoint.requests().stream()
                 .map(RawRequest::path)
                 .filter(path -> path.startsWith(prefix))
@@ -70,8 +70,8 @@
     }
 
     @Test
-    void memoryIsBookedBeforeThePromptIsReadAndItsCacheGoesToTheBooking() {
-        String answer = entry.ask("/stream/x", "r1", SIZE);
+    void memoryIsBookedBeforePrefillAndTheKvCacheIsSentToTheBooking() {
+        String answer = entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER);
         assertThat(answer)
                 .startsWith("HTTP/1.1 200 OK")
                 .contains("data: a")
@@ -87,10 +87,10 @@
     }
 
     @Test
-    void theRoomForALongOneIsGivenBackAtOnce() {
-        entry.ask("/stream/x", "r1", SIZE);
-        assertThat(controls(decode, "/control/reserve")).hasSize(2);
-        assertThat(controls(decode, "/control/release")).containsExactly("/control/release/booking2");
+    void theBookingForALongRequestIsReleasedAtOnce() {
+        entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER);
+        assertThat(controlPaths(decode, "/control/reserve")).hasSize(2);
+        assertThat(controlPaths(decode, "/control/release")).containsExactly("/control/release/booking2");
     }
 
     @Test
@@ -105,57 +105,60 @@
             }
         });
         for (int i = 0; i < 12; i++) {
-            assertThat(entry.ask("/stream/x", "r" + i, SIZE)).as("stream %d", i).startsWith("HTTP/1.1 200");
+            assertThat(entry.ask("/stream/x", "r" + i, PROMPT_TOKENS_HEADER))
+                    .as("stream %d", i)
+                    .startsWith("HTTP/1.1 200");
         }
     }
 
     @Test
-    void aFullEngineMeansARefusalThatHasNotRunAnything() {
+    void aFullEngineLeadsToARefusalBeforeAnythingRuns() {
         full.set(true);
-        String answer = entry.ask("/stream/x", "r1", SIZE);
+        String answer = entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER);
         assertThat(answer).startsWith("HTTP/1.1 503").contains("x-come-back: ");
         assertThat(prefill.runs()).isEmpty();
         assertThat(decode.runs()).isEmpty();
     }
 
     @Test
-    void whoWaitsGetsThePlaceThatBecomesFree() throws Exception {
+    void aQueuedRequestGetsTheMemoryThatBecomesFree() throws Exception {
         full.set(true);
-        CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", "r1", SIZE));
+        CompletableFuture<String> answer =
+                CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER));
         TimeUnit.MILLISECONDS.sleep(200);
         full.set(false);
         assertThat(answer.get(10, TimeUnit.SECONDS)).startsWith("HTTP/1.1 200");
     }
 
     @Test
-    void whoComesBackLateIsRefusedBeforeThePatienceEnds() {
-        entry.ask("/stream/x", "first", SIZE, "x-patience: 20000");
+    void aLateRetryIsRefusedBeforeItsDeadline() {
+        entry.ask("/stream/x", "first", PROMPT_TOKENS_HEADER, "x-patience: 20000");
         full.set(true);
-        assertThat(entry.ask("/stream/x", "again", SIZE, "x-patience: 15000"))
+        assertThat(entry.ask("/stream/x", "again", PROMPT_TOKENS_HEADER, "x-patience: 15000"))
                 .startsWith("HTTP/1.1 503")
                 .contains("x-come-back: ");
     }
 
     @Test
-    void aPieceOfAnEventIsNeverDeliveredAndABrokenStreamDoesNotLookComplete() {
+    void aPartialEventIsNeverDeliveredAndABrokenStreamDoesNotLookComplete() {
         decode.script(engine((request, connection) -> {
             connection.beginStream(request);
             connection.chunk("id: 1\ndata: a\n\nid: 2\ndata: ha");
             connection.reset();
         }));
-        String answer = entry.ask("/stream/x", "r1", SIZE);
+        String answer = entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER);
         assertThat(answer).contains("data: a").doesNotContain("data: ha").doesNotEndWith("0\r\n\r\n");
     }
 
     @Test
     void aStreamThatMayNotBeRepeatedRunsOnce() {
         decode.script(engine((request, connection) -> connection.reset()));
-        assertThat(entry.ask("/stream/x", "r1", SIZE)).startsWith("HTTP/1.1 502");
+        assertThat(entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER)).startsWith("HTTP/1.1 502");
         assertThat(decode.runs()).hasSize(1);
     }
 
     @Test
-    void aResumableStreamGoesOnAfterItsLastWholeEvent() {
+    void aResumableStreamContinuesAfterItsLastCompleteEvent() {
         AtomicInteger runs = new AtomicInteger();
         decode.script(engine((request, connection) -> {
             connection.beginStream(request);
@@ -167,7 +170,7 @@
             connection.chunk("id: 2\ndata: b\n\n");
             connection.endStream();
         }));
-        String answer = entry.ask("/resumable/x", "r1", SIZE);
+        String answer = entry.ask("/resumable/x", "r1", PROMPT_TOKENS_HEADER);
         assertThat(answer).endsWith("0\r\n\r\n");
         assertThat(answer.split("HTTP/1.1", -1)).as("one head").hasSize(2);
         assertThat(answer.split("data: a", -1)).hasSize(2);
@@ -176,7 +179,7 @@
     }
 
     @Test
-    void anEngineThatTurnsTheRequestAwayLeadsToAnotherTurn() {
+    void aRequestThatAnEngineRejectsGetsAnotherAttempt() {
         AtomicInteger runs = new AtomicInteger();
         decode.script(engine((request, connection) -> {
             if (runs.incrementAndGet() == 1) {
@@ -185,7 +188,7 @@
                 twoEvents(request, connection);
             }
         }));
-        assertThat(entry.ask("/stream/x", "r1", SIZE))
+        assertThat(entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER))
                 .startsWith("HTTP/1.1 200")
                 .endsWith("0\r\n\r\n");
         assertThat(prefill.runs()).hasSize(2);
@@ -193,16 +196,17 @@
 
     /** An engine that changes stage still grants bookings and looks like the emptiest, as nothing runs there. */
     @Test
-    void anEngineThatTurnsAllAwayIsBookedOnceThoughItLooksLikeTheEmptiest() {
+    void anEngineThatRejectsAllRequestsIsUsedOnceAlthoughItLooksLikeTheEmptiest() {
         ScriptedEndpoint changing =
                 new ScriptedEndpoint("changing", engine((request, connection) -> connection.reject(request)));
         try (changing) {
-            entry.endpoints(
+            entry.updateEndpoints(
                     prefill.member("s", Stage.PREFILL),
                     decode.member("s", Stage.DECODE),
                     changing.member("s", Stage.DECODE));
             for (int i = 0; i < 12; i++) {
-                assertThat(entry.ask("/stream/x", "r" + i, SIZE)).startsWith("HTTP/1.1 200");
+                assertThat(entry.ask("/stream/x", "r" + i, PROMPT_TOKENS_HEADER))
+                        .startsWith("HTTP/1.1 200");
             }
             assertThat(decode.runs()).hasSize(12);
             assertThat(changing.runs()).hasSizeLessThanOrEqualTo(1);
@@ -210,7 +214,7 @@
     }
 
     @Test
-    void whereMoreThanHalfOfTheEnginesTurnWorkAwayAllAreTried() {
+    void allEnginesAreTriedWhenMoreThanHalfOfThemRejectRequests() {
         AtomicInteger runs = new AtomicInteger();
         decode.script(engine((request, connection) -> {
             if (runs.incrementAndGet() <= 2) {
@@ -219,39 +223,41 @@
                 twoEvents(request, connection);
             }
         }));
-        assertThat(entry.ask("/stream/x", "r1", SIZE)).startsWith("HTTP/1.1 200");
+        assertThat(entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER)).startsWith("HTTP/1.1 200");
         assertThat(prefill.runs()).hasSize(3);
     }
 
     @Test
-    void withoutAPrefillEngineTheDecodeEngineReadsThePrompt() {
-        entry.endpoints(decode.member("s", Stage.DECODE));
-        assertThat(entry.ask("/stream/x", "r1", SIZE)).startsWith("HTTP/1.1 200");
+    void withoutAPrefillEngineTheDecodeEnginePrefillsThePrompt() {
+        entry.updateEndpoints(decode.member("s", Stage.DECODE));
+        assertThat(entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER)).startsWith("HTTP/1.1 200");
         assertThat(decode.runs())
                 .singleElement()
                 .satisfies(run -> assertThat(run.header("x-kv")).isEmpty());
     }
 
     @Test
-    void whoLeavesWhileThePromptIsReadLeavesNoBookingBehind() throws Exception {
+    void aCallerThatDisconnectsDuringPrefillLeavesNoBookingBehind() throws Exception {
         CompletableFuture<Void> reading = new CompletableFuture<>();
         prefill.script((request, connection) -> {
             reading.complete(null);
             connection.awaitClosed();
         });
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.send("/stream/x", "r1", SIZE);
+            caller.send("/stream/x", "r1", PROMPT_TOKENS_HEADER);
             reading.get(10, TimeUnit.SECONDS);
         }
-        for (int i = 0; i < 100 && !controls(decode, "/control/release").contains("/control/release/booking1"); i++) {
+        for (int i = 0;
+                i < 100 && !controlPaths(decode, "/control/release").contains("/control/release/booking1");
+                i++) {
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        assertThat(controls(decode, "/control/release")).contains("/control/release/booking1");
+        assertThat(controlPaths(decode, "/control/release")).contains("/control/release/booking1");
         assertThat(decode.runs()).isEmpty();
     }
 
     @Test
-    void whoLeavesAStreamEndsItAtTheEngine() throws Exception {
+    void aCallerThatDisconnectsEndsItsStreamAtTheEngine() throws Exception {
         CompletableFuture<Boolean> closed = new CompletableFuture<>();
         decode.script(engine((request, connection) -> {
             connection.beginStream(request);
@@ -259,7 +265,7 @@
             closed.complete(connection.awaitClosed());
         }));
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.send("/stream/x", "r1", SIZE);
+            caller.send("/stream/x", "r1", PROMPT_TOKENS_HEADER);
             caller.readUntil("data: a");
         }
         assertThat(closed.get(10, TimeUnit.SECONDS)).isTrue();
--- a/gateway/src/test/java/org/quetzalseam/gateway/ListeningTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/ListeningTest.java
@@ -8,7 +8,7 @@
 
 class ListeningTest {
     @Test
-    void anEntryThatIsToldPortZeroTellsThePortsThatItListensOn() {
+    void anEntryOnPortZeroReportsThePortsThatItListensOn() {
         try (TestEntry entry = new TestEntry()) {
             List<InetSocketAddress> told = List.of(
                     entry.listening().callers(),
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void entriesThatAreToldPortZeroNeverMeet() {
+    void entriesOnPortZeroListenOnDifferentPorts() {
         try (TestEntry first = new TestEntry();
                 TestEntry second = new TestEntry()) {
             assertThat(second.address()).isNotEqualTo(first.address());
--- a/gateway/src/test/java/org/quetzalseam/gateway/PlainCallTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/PlainCallTest.java
@@ -29,8 +29,8 @@
 
     @BeforeEach
     void start() {
-        entry.routes(5_000);
-        entry.endpoints(one.member("s", Stage.WHOLE));
+        entry.updateRoutes(5_000);
+        entry.updateEndpoints(one.member("s", Stage.WHOLE));
     }
 
     @AfterEach
@@ -42,11 +42,11 @@
     }
 
     private void useBoth() {
-        entry.endpoints(one.member("s", Stage.WHOLE), two.member("s", Stage.WHOLE));
+        entry.updateEndpoints(one.member("s", Stage.WHOLE), two.member("s", Stage.WHOLE));
     }
 
     @Test
-    void anAnswerIsPassedOnWithItsSignature() {
+    void anAnswerIsForwardedWithItsSignature() {
         assertThat(entry.ask("/once/x", "r1"))
                 .startsWith("HTTP/1.1 200 OK")
                 .contains("x-signature: s")
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aRequestWithoutAnIdGetsWhateverTheEndpointSays() {
+    void aRequestWithoutAnIdGetsWhateverTheEndpointAnswers() {
         one.script((request, connection) ->
                 connection.write("HTTP/1.1 200 OK\r\nx-signature: s\r\nContent-Length: 5\r\n\r\nplain"));
         try (TestEntry.Caller caller = entry.caller()) {
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aNonIdempotentRequestWhoseReplyIsLostIsSentOnceAndNotCalledNotRun() {
+    void aNonIdempotentRequestWhoseReplyIsLostIsSentOnceAndNotReportedAsNotRun() {
         useBoth();
         one.script((request, connection) -> connection.reset());
         two.script((request, connection) -> connection.reset());
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aRequestThatWasTurnedAwayGoesToAnotherEndpointEvenIfItMayRunOnlyOnce() {
+    void aRejectedRequestGoesToAnotherEndpointEvenIfItMayRunOnlyOnce() {
         useBoth();
         one.script((request, connection) -> connection.reject(request));
         for (int i = 0; i < 5; i++) {
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void whenAllEndpointsTurnItAwayTheCallerIsToldWhenToComeBack() {
+    void whenAllEndpointsRejectARequestTheCallerIsToldWhenToRetry() {
         one.script((request, connection) -> connection.reject(request));
         assertThat(entry.ask("/once/x", "r1")).startsWith("HTTP/1.1 503").contains("x-come-back: ");
     }
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void anAnswerWithoutLengthThatIsResetIsNotShownAsWhole() {
+    void anAnswerWithoutLengthThatIsResetIsNotForwardedAsComplete() {
         one.script((request, connection) -> {
             connection.write("HTTP/1.1 200 OK\r\nx-id: " + request.header("x-id") + "\r\nx-signature: s\r\n\r\nhalf");
             connection.reset();
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void anAnswerWithoutLengthThatEndsInOrderIsWhole() {
+    void anAnswerWithoutLengthThatEndsInOrderIsComplete() {
         one.script((request, connection) -> {
             connection.write("HTTP/1.1 200 OK\r\nx-id: " + request.header("x-id") + "\r\nx-signature: s\r\n\r\nwhole");
             connection.finish();
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void aTruncatedAnswerIsNotShownAsWhole() {
+    void aTruncatedAnswerIsNotForwardedAsComplete() {
         one.script((request, connection) -> {
             connection.write("HTTP/1.1 200 OK\r\nx-id: " + request.header("x-id")
                     + "\r\nx-signature: s\r\nContent-Length: 100\r\n\r\nhalf");
@@ -152,13 +152,13 @@
     }
 
     @Test
-    void bytesThatAreNoReplyAreNotPassedOn() {
+    void bytesThatAreNoReplyAreNotForwarded() {
         one.script((request, connection) -> connection.write("\u0001\u0002 no reply at all\r\n\r\n"));
         assertThat(entry.ask("/once/x", "r1")).startsWith("HTTP/1.1 502");
     }
 
     @Test
-    void workEndsAtTheEndpointWhenTheCallerLeaves() throws Exception {
+    void workEndsAtTheEndpointWhenTheCallerDisconnects() throws Exception {
         CompletableFuture<Boolean> closed = new CompletableFuture<>();
         CompletableFuture<Void> arrived = new CompletableFuture<>();
         one.script((request, connection) -> {
@@ -173,21 +173,21 @@
     }
 
     @Test
-    void aRequestIsAnsweredWhenItsRoutesTimeIsUp() {
+    void aRequestIsAnsweredWhenItsRouteTimesOut() {
         one.script((request, connection) -> connection.awaitClosed());
         TestEntry slow = new TestEntry();
-        slow.routes(300);
-        slow.endpoints(one.member("s", Stage.WHOLE));
+        slow.updateRoutes(300);
+        slow.updateEndpoints(one.member("s", Stage.WHOLE));
         assertThat(slow.ask("/once/x", "r1")).startsWith("HTTP/1.1 504");
         slow.close();
     }
 
     @Test
-    void anEndpointThatNeverAnswersIsFoundOutByTheRequestsThatItLetWait() {
+    void anEndpointThatNeverAnswersIsDetectedByTheRequestsThatTimeOut() {
         one.script((request, connection) -> connection.awaitClosed());
         try (TestEntry impatient = new TestEntry()) {
-            impatient.routes(100);
-            impatient.endpoints(one.member("s", Stage.WHOLE), two.member("s", Stage.WHOLE));
+            impatient.updateRoutes(100);
+            impatient.updateEndpoints(one.member("s", Stage.WHOLE), two.member("s", Stage.WHOLE));
             for (int i = 0; i < 60 && one.runs().size() < 3; i++) {
                 impatient.ask("/once/x", "r" + i);
             }
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void connectionsToAnEndpointAreKept() {
+    void connectionsToAnEndpointAreReused() {
         for (int i = 0; i < 10; i++) {
             entry.ask("/once/x", "r" + i);
         }
@@ -206,10 +206,10 @@
     }
 
     @Test
-    void aLeavingEndpointGetsNoNewRequests() {
+    void aDrainingEndpointGetsNoNewRequests() {
         useBoth();
         var leaving = one.member("s", Stage.WHOLE);
-        entry.endpoints(
+        entry.updateEndpoints(
                 new org.quetzalseam.core.fleet.Member(
                         leaving.id(),
                         leaving.startMillis(),
@@ -232,18 +232,18 @@
     }
 
     @Test
-    void aCallerWhoComesBeforeTheRoutesIsKeptUntilTheyAreThere() throws Exception {
+    void aRequestThatArrivesBeforeTheRoutesWaitsForThem() throws Exception {
         try (TestEntry young = new TestEntry();
                 TestEntry.Caller caller = young.caller()) {
             caller.send("/once/x", "r1");
-            young.endpoints(one.member("s", Stage.WHOLE));
-            young.routes(5_000);
+            young.updateEndpoints(one.member("s", Stage.WHOLE));
+            young.updateRoutes(5_000);
             assertThat(caller.readUntil("first")).startsWith("HTTP/1.1 200 OK");
         }
     }
 
     @Test
-    void requestsThatAreSentTogetherAreAnsweredInOrder() {
+    void pipelinedRequestsAreAnsweredInOrder() {
         one.script((request, connection) -> connection.answer(request, "for " + request.header("x-id")));
         try (TestEntry.Caller caller = entry.caller()) {
             caller.send("/once/x", "r1");
@@ -256,7 +256,7 @@
     }
 
     @Test
-    void aLeavingEntryFinishesWhatItHasTakenAndClosesTheConnection() throws Exception {
+    void aDrainingEntryFinishesAcceptedRequestsAndClosesTheConnection() throws Exception {
         CompletableFuture<Void> arrived = new CompletableFuture<>();
         CompletableFuture<Void> goOn = new CompletableFuture<>();
         one.script((request, connection) -> {
@@ -285,9 +285,9 @@
             connection.answer(request, "first");
         });
         try (TestEntry sharing = new TestEntry()) {
-            sharing.routes(5_000, 10);
-            sharing.entries(2);
-            sharing.endpoints(one.member("s", Stage.WHOLE));
+            sharing.updateRoutes(5_000, 10);
+            sharing.updateEntryCount(2);
+            sharing.updateEndpoints(one.member("s", Stage.WHOLE));
             List<CompletableFuture<String>> answers = new ArrayList<>();
             for (int i = 0; i < 9; i++) {
                 String id = "r" + i;
@@ -309,7 +309,7 @@
     }
 
     @Test
-    void anEndpointThatForgetsRestingConnectionsLosesNoFurtherRequests() throws Exception {
+    void anEndpointThatDropsIdleConnectionsLosesNoFurtherRequests() throws Exception {
         Map<ScriptedEndpoint.Connection, Long> lastUsed = new ConcurrentHashMap<>();
         one.script((request, connection) -> {
             long now = System.nanoTime();
@@ -330,7 +330,7 @@
     }
 
     @Test
-    void anAddressThatIsInUseIsNamed() {
+    void anAddressInUseIsNamedInTheError() {
         try (TestEntry second = new TestEntry()) {
             assertThatThrownBy(() -> second.process().start(entry.address(), entry.address(), entry.address()))
                     .isInstanceOf(GatewayException.class)
--- a/gateway/src/test/java/org/quetzalseam/gateway/PromptReadingTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/PrefillTest.java
@@ -15,21 +15,21 @@
 import org.quetzalseam.standins.raw.RawRequest;
 
 /** Prompts at engines that are slower than this project has ever seen, silent, or too full. */
-class PromptReadingTest {
-    private static final String SIZE = "x-tokens: 1000";
+class PrefillTest {
+    private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
     /** Longer than any fixed limit that suits a fast engine. */
-    private static final long SLOW_MILLIS = 1_200;
+    private static final long SLOW_PREFILL_MILLIS = 1_200;
 
     private final TestEntry entry = new TestEntry();
     private final AtomicInteger bookings = new AtomicInteger();
-    private final ScriptedEndpoint first = new ScriptedEndpoint("first", this::read);
-    private final ScriptedEndpoint second = new ScriptedEndpoint("second", this::read);
+    private final ScriptedEndpoint first = new ScriptedEndpoint("first", this::prefill);
+    private final ScriptedEndpoint second = new ScriptedEndpoint("second", this::prefill);
     private final ScriptedEndpoint decode = new ScriptedEndpoint("decode", this::decode);
 
     @BeforeEach
     void start() {
-        entry.routes(8_000);
-        entry.endpoints(
+        entry.updateRoutes(8_000);
+        entry.updateEndpoints(
                 first.member("s", Stage.PREFILL), second.member("s", Stage.PREFILL), decode.member("s", Stage.DECODE));
     }
 
@@ -41,18 +41,18 @@
         decode.close();
     }
 
-    private void read(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
+    private void prefill(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
         connection.answer(request, request.path().startsWith("/control/") ? "" : "kv");
     }
 
-    private ScriptedEndpoint.Script after(long millis) {
+    private ScriptedEndpoint.Script prefillAfter(long millis) {
         return (request, connection) -> {
-            pause(millis);
-            read(request, connection);
+            sleep(millis);
+            prefill(request, connection);
         };
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         try {
             TimeUnit.MILLISECONDS.sleep(millis);
         } catch (InterruptedException e) {
@@ -72,29 +72,29 @@
         }
     }
 
-    private int reads() {
+    private int prefillCount() {
         return first.runs().size() + second.runs().size();
     }
 
-    private List<String> askTogether(String prefix, int count) {
-        return askTogether("/stream/x", prefix, count);
+    private List<String> askConcurrently(String prefix, int count) {
+        return askConcurrently("/stream/x", prefix, count);
     }
 
-    private List<String> askTogether(String path, String prefix, int count) {
+    private List<String> askConcurrently(String path, String prefix, int count) {
         List<CompletableFuture<String>> asked = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String id = prefix + i;
-            asked.add(CompletableFuture.supplyAsync(() -> entry.ask(path, id, SIZE)));
+            asked.add(CompletableFuture.supplyAsync(() -> entry.ask(path, id, PROMPT_TOKENS_HEADER)));
         }
         return asked.stream().map(CompletableFuture::join).toList();
     }
 
     @Test
-    void aSlowReadingIsWaitedForAndNotBegunAnew() {
-        first.script(after(SLOW_MILLIS));
-        second.script(after(SLOW_MILLIS));
-        assertThat(entry.ask("/stream/x", "r1", SIZE)).startsWith("HTTP/1.1 200");
-        assertThat(reads()).isEqualTo(1);
+    void aSlowPrefillIsAwaitedAndNotRepeated() {
+        first.script(prefillAfter(SLOW_PREFILL_MILLIS));
+        second.script(prefillAfter(SLOW_PREFILL_MILLIS));
+        assertThat(entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER)).startsWith("HTTP/1.1 200");
+        assertThat(prefillCount()).isEqualTo(1);
     }
 
     /**
@@ -103,68 +103,70 @@
      * have let it ask elsewhere.
      */
     @Test
-    void aPromptThatItsOnlyEngineDoesNotReadIsRefusedBeforeItsCallerLeaves() {
-        entry.routesOfVersion(2, 30_000);
-        entry.endpoints(first.member("s", Stage.PREFILL), decode.member("s", Stage.DECODE));
-        first.script((request, connection) -> pause(20_000));
+    void aPromptThatItsOnlyEngineDoesNotPrefillIsRefusedBeforeItsCallerDisconnects() {
+        entry.updateRoutesToVersion(2, 30_000);
+        entry.updateEndpoints(first.member("s", Stage.PREFILL), decode.member("s", Stage.DECODE));
+        first.script((request, connection) -> sleep(20_000));
         long begun = System.nanoTime();
-        String answer = entry.ask("/stream/x", "r1", SIZE, "x-patience: 30000");
+        String answer = entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER, "x-patience: 30000");
         long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
         assertThat(answer).startsWith("HTTP/1.1 503").contains("x-come-back");
         assertThat(tookMillis).isLessThan(8_000);
     }
 
     @Test
-    void slowEnginesReadEachPromptOnceAlsoWhenSeveralComeTogether() {
-        first.script(after(SLOW_MILLIS));
-        second.script(after(SLOW_MILLIS));
-        List<String> answers = askTogether("r", 4);
+    void slowEnginesPrefillEachPromptOnceAlsoWhenSeveralArriveTogether() {
+        first.script(prefillAfter(SLOW_PREFILL_MILLIS));
+        second.script(prefillAfter(SLOW_PREFILL_MILLIS));
+        List<String> answers = askConcurrently("r", 4);
         long served = answers.stream()
                 .filter(answer -> answer.startsWith("HTTP/1.1 200"))
                 .count();
-        assertThat(served).isEqualTo(reads()).isGreaterThanOrEqualTo(2);
+        assertThat(served).isEqualTo(prefillCount()).isGreaterThanOrEqualTo(2);
         assertThat(answers).allMatch(answer -> answer.startsWith("HTTP/1.1 200") || answer.startsWith("HTTP/1.1 503"));
     }
 
     @Test
-    void anEngineThatClosesTheConnectionLeadsToAnotherAtOnce() {
+    void whenAnEngineClosesTheConnectionAnotherIsUsedAtOnce() {
         first.script((request, connection) -> connection.reset());
         for (int i = 0; i < 6; i++) {
-            assertThat(entry.ask("/stream/x", "r" + i, SIZE)).as("stream %d", i).startsWith("HTTP/1.1 200");
+            assertThat(entry.ask("/stream/x", "r" + i, PROMPT_TOKENS_HEADER))
+                    .as("stream %d", i)
+                    .startsWith("HTTP/1.1 200");
         }
         assertThat(second.runs()).hasSize(6);
     }
 
     @Test
-    void aSilentEngineIsLeftForOneThatReadsMeanwhile() {
+    void anUnresponsiveEngineIsReplacedByOneThatIsPrefilling() {
         for (int i = 0; i < 10; i++) {
-            entry.ask("/stream/x", "warm" + i, SIZE);
+            entry.ask("/stream/x", "warm" + i, PROMPT_TOKENS_HEADER);
         }
         first.script((request, connection) -> connection.awaitClosed());
         List<String> answers = new ArrayList<>();
         for (int round = 0; round < 8; round++) {
-            answers.addAll(askTogether("r" + round + "-", 3));
+            answers.addAll(askConcurrently("r" + round + "-", 3));
         }
         assertThat(answers).allMatch(answer -> answer.startsWith("HTTP/1.1 200"));
     }
 
     /** Before any engine has answered four prompts are begun at two of them; the others of a burst wait, and none is refused. */
     @Test
-    void whatTheEnginesHaveNoTimeForYetIsReadAfterTheOthers() {
-        first.script(after(SLOW_MILLIS / 4));
-        second.script(after(SLOW_MILLIS / 4));
-        assertThat(askTogether("r", 8)).allMatch(answer -> answer.startsWith("HTTP/1.1 200"));
-        assertThat(reads()).isEqualTo(8);
+    void promptsThatExceedTheEnginesCapacityAreQueuedAndPrefilledLater() {
+        first.script(prefillAfter(SLOW_PREFILL_MILLIS / 4));
+        second.script(prefillAfter(SLOW_PREFILL_MILLIS / 4));
+        assertThat(askConcurrently("r", 8)).allMatch(answer -> answer.startsWith("HTTP/1.1 200"));
+        assertThat(prefillCount()).isEqualTo(8);
     }
 
     /** Two slow engines have a burst of twelve prompts: some would be read after the objective, where a decode engine is in time. */
     @Test
-    void whatPrefillEnginesWouldReadTooLateADecodeEngineReadsBetweenItsTokens() {
-        entry.entries(1);
-        first.script(after(SLOW_MILLIS / 2));
-        second.script(after(SLOW_MILLIS / 2));
-        askTogether("/paced/x", "warm", 2);
-        List<String> answers = askTogether("/paced/x", "r", 12);
+    void aDecodeEnginePrefillsWhatPrefillEnginesWouldFinishTooLate() {
+        entry.updateEntryCount(1);
+        first.script(prefillAfter(SLOW_PREFILL_MILLIS / 2));
+        second.script(prefillAfter(SLOW_PREFILL_MILLIS / 2));
+        askConcurrently("/paced/x", "warm", 2);
+        List<String> answers = askConcurrently("/paced/x", "r", 12);
         assertThat(decode.runs())
                 .anyMatch(run ->
                         run.header("x-kv").isEmpty() && !run.header("x-booking").isEmpty());
@@ -172,15 +174,15 @@
     }
 
     @Test
-    void whatWouldBeReadTooLateIsRefusedBeforeAnythingIsBooked() {
-        first.script(after(SLOW_MILLIS));
-        second.script(after(SLOW_MILLIS));
-        askTogether("warm", 2);
+    void aPromptThatWouldBePrefilledTooLateIsRefusedBeforeAnythingIsBooked() {
+        first.script(prefillAfter(SLOW_PREFILL_MILLIS));
+        second.script(prefillAfter(SLOW_PREFILL_MILLIS));
+        askConcurrently("warm", 2);
         int before = bookings.get();
-        int readsBefore = reads();
-        String answer = entry.ask("/stream/x", "r1", SIZE, "x-patience: 300");
+        int readsBefore = prefillCount();
+        String answer = entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER, "x-patience: 300");
         assertThat(answer).startsWith("HTTP/1.1 503").contains("x-come-back: ");
         assertThat(bookings.get()).isEqualTo(before);
-        assertThat(reads()).isEqualTo(readsBefore);
+        assertThat(prefillCount()).isEqualTo(readsBefore);
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/RestartedEndpointTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/RestartedEndpointTest.java
@@ -18,19 +18,19 @@
 class RestartedEndpointTest {
     private static final String SIZE = "x-tokens: 1000";
     /** Time limit of the routes, in milliseconds; what is answered in half of it didn't wait for it. */
-    private static final long TIME_OUT_MILLIS = 5_000;
+    private static final long TIMEOUT_MILLIS = 5_000;
 
-    private static final long SECOND_START = 2_000;
+    private static final long SECOND_START_MILLIS = 2_000;
     /** Longer than the replies of an ended life are waited for. */
     private static final long LATE_REPLY_MILLIS = 700;
 
     private final TestEntry entry = new TestEntry();
     private final AtomicInteger bookings = new AtomicInteger();
-    private final AtomicInteger prompts = new AtomicInteger();
+    private final AtomicInteger prefills = new AtomicInteger();
     private final CountDownLatch arrived = new CountDownLatch(1);
     private final ScriptedEndpoint plain =
             new ScriptedEndpoint("plain", (request, connection) -> connection.answer(request, "answer"));
-    private final ScriptedEndpoint prefill = new ScriptedEndpoint("prefill", this::readPrompt);
+    private final ScriptedEndpoint prefill = new ScriptedEndpoint("prefill", this::answerPrefill);
     private final ScriptedEndpoint decode = new ScriptedEndpoint("decode", this::decode);
 
     private ScriptedEndpoint.Script stream = (request, connection) -> {
@@ -41,8 +41,8 @@
 
     @BeforeEach
     void start() {
-        entry.routes(TIME_OUT_MILLIS);
-        entry.endpoints(
+        entry.updateRoutes(TIMEOUT_MILLIS);
+        entry.updateEndpoints(
                 plain.member("s", Stage.WHOLE), prefill.member("s", Stage.PREFILL), decode.member("s", Stage.DECODE));
     }
 
@@ -54,8 +54,8 @@
         decode.close();
     }
 
-    private void readPrompt(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
-        connection.answer(request, request.path().startsWith("/control/") ? "" : "kv" + prompts.incrementAndGet());
+    private void answerPrefill(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
+        connection.answer(request, request.path().startsWith("/control/") ? "" : "kv" + prefills.incrementAndGet());
     }
 
     private void decode(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
@@ -68,29 +68,30 @@
         }
     }
 
-    private void plainStartsAgain() {
-        entry.endpoints(
-                plain.member("s", Stage.WHOLE, SECOND_START),
+    private void restartPlain() {
+        entry.updateEndpoints(
+                plain.member("s", Stage.WHOLE, SECOND_START_MILLIS),
                 prefill.member("s", Stage.PREFILL),
                 decode.member("s", Stage.DECODE));
     }
 
-    private void decodeStartsAgain() {
-        entry.endpoints(
+    private void restartDecode() {
+        entry.updateEndpoints(
                 plain.member("s", Stage.WHOLE),
                 prefill.member("s", Stage.PREFILL),
-                decode.member("s", Stage.DECODE, SECOND_START));
+                decode.member("s", Stage.DECODE, SECOND_START_MILLIS));
     }
 
-    private void prefillStartsAgain() {
-        entry.endpoints(
+    private void restartPrefill() {
+        entry.updateEndpoints(
                 plain.member("s", Stage.WHOLE),
-                prefill.member("s", Stage.PREFILL, SECOND_START),
+                prefill.member("s", Stage.PREFILL, SECOND_START_MILLIS),
                 decode.member("s", Stage.DECODE));
     }
 
     /** The first life goes silent over a request; the second answers. */
-    private void silentThenAnswering(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
+    private void unresponsiveThenAnswering(RawRequest request, ScriptedEndpoint.Connection connection)
+            throws IOException {
         if (arrived.getCount() > 0) {
             arrived.countDown();
             connection.awaitClosed();
@@ -99,42 +100,42 @@
         }
     }
 
-    private static String soon(CompletableFuture<String> answer) throws Exception {
-        return answer.get(TIME_OUT_MILLIS / 2, TimeUnit.MILLISECONDS);
+    private static String awaitWithinHalfTimeout(CompletableFuture<String> answer) throws Exception {
+        return answer.get(TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS);
     }
 
     @Test
-    void keptConnectionsOfTheEarlierLifeAreNotUsed() {
+    void idleConnectionsToThePreviousIncarnationAreNotUsed() {
         entry.ask("/once/x", "r1");
         entry.ask("/once/x", "r2");
         assertThat(plain.connections()).isEqualTo(1);
-        plainStartsAgain();
+        restartPlain();
         assertThat(entry.ask("/once/x", "r3")).endsWith("answer");
         assertThat(plain.connections()).isEqualTo(2);
     }
 
     @Test
-    void aCallThatMayHaveRunInTheEarlierLifeIsNotSentAgainAndIsToldSoAtOnce() throws Exception {
-        plain.script(this::silentThenAnswering);
+    void aCallThatMayHaveRunInThePreviousIncarnationFailsAtOnceAndIsNotSentAgain() throws Exception {
+        plain.script(this::unresponsiveThenAnswering);
         CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/once/x", "r1"));
         arrived.await();
-        plainStartsAgain();
-        assertThat(soon(answer)).startsWith("HTTP/1.1 502");
+        restartPlain();
+        assertThat(awaitWithinHalfTimeout(answer)).startsWith("HTTP/1.1 502");
         assertThat(plain.runs()).hasSize(1);
     }
 
     @Test
-    void anIdempotentCallGoesToTheNewLifeAtOnce() throws Exception {
-        plain.script(this::silentThenAnswering);
+    void anIdempotentCallGoesToTheNewIncarnationAtOnce() throws Exception {
+        plain.script(this::unresponsiveThenAnswering);
         CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/many/x", "r1"));
         arrived.await();
-        plainStartsAgain();
-        assertThat(soon(answer)).startsWith("HTTP/1.1 200").endsWith("answer");
+        restartPlain();
+        assertThat(awaitWithinHalfTimeout(answer)).startsWith("HTTP/1.1 200").endsWith("answer");
         assertThat(plain.runs()).hasSize(2);
     }
 
     @Test
-    void anAnswerOfTheEarlierLifeThatWasOnItsWayIsDelivered() throws Exception {
+    void anAnswerOfThePreviousIncarnationThatWasInFlightIsDelivered() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
         plain.script((request, connection) -> {
             arrived.countDown();
@@ -143,13 +144,13 @@
         });
         CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/once/x", "r1"));
         arrived.await();
-        plainStartsAgain();
+        restartPlain();
         listed.countDown();
-        assertThat(soon(answer)).startsWith("HTTP/1.1 200").endsWith("late");
+        assertThat(awaitWithinHalfTimeout(answer)).startsWith("HTTP/1.1 200").endsWith("late");
     }
 
     /** Ends the plain endpoint's first life as a crash does: what was under way there breaks off. */
-    private void endPlainLife() {
+    private void crashPlain() {
         plain.script((request, connection) -> connection.reset());
         assertThat(entry.ask("/once/x", "first")).startsWith("HTTP/1.1 502");
     }
@@ -160,8 +161,8 @@
      * the new life was working on it: {@code endpoint-started-again … outstanding=1}, then a 502.
      */
     @Test
-    void aCallThatTheNewLifeHasTakenBeforeItIsListedIsAnswered() throws Exception {
-        endPlainLife();
+    void aCallAcceptedByTheNewIncarnationBeforeItIsListedIsAnswered() throws Exception {
+        crashPlain();
         CountDownLatch mayAnswer = new CountDownLatch(1);
         plain.script((request, connection) -> {
             arrived.countDown();
@@ -170,16 +171,16 @@
         });
         CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/once/x", "second"));
         arrived.await();
-        plainStartsAgain();
+        restartPlain();
         TimeUnit.MILLISECONDS.sleep(LATE_REPLY_MILLIS);
         mayAnswer.countDown();
-        assertThat(soon(answer)).startsWith("HTTP/1.1 200").endsWith("answer");
+        assertThat(awaitWithinHalfTimeout(answer)).startsWith("HTTP/1.1 200").endsWith("answer");
         assertThat(plain.runs()).hasSize(2);
     }
 
     /** A stream that the new life has begun goes on in the same way, also where it may not be resumed. */
     @Test
-    void aStreamThatTheNewLifeHasBegunBeforeItIsListedIsNotCut() throws Exception {
+    void aStreamStartedByTheNewIncarnationBeforeItIsListedIsNotCut() throws Exception {
         stream = (request, connection) -> connection.reset();
         assertThat(entry.ask("/stream/x", "first", SIZE)).doesNotContain("data: a");
         CountDownLatch mayGoOn = new CountDownLatch(1);
@@ -193,10 +194,13 @@
         };
         CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", "second", SIZE));
         arrived.await();
-        decodeStartsAgain();
+        restartDecode();
         TimeUnit.MILLISECONDS.sleep(LATE_REPLY_MILLIS);
         mayGoOn.countDown();
-        assertThat(soon(answer)).contains("data: a").contains("data: b").endsWith("0\r\n\r\n");
+        assertThat(awaitWithinHalfTimeout(answer))
+                .contains("data: a")
+                .contains("data: b")
+                .endsWith("0\r\n\r\n");
     }
 
     private static void await(CountDownLatch latch) throws IOException {
@@ -209,7 +213,7 @@
     }
 
     /** One event in the first life, then silence; the rest in the second. */
-    private void brokenStream(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
+    private void interruptedStream(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
         connection.beginStream(request);
         if (arrived.getCount() > 0) {
             connection.chunk("id: 1\ndata: a\n\n");
@@ -222,33 +226,36 @@
     }
 
     @Test
-    void aResumableStreamGoesOnInTheNewLife() throws Exception {
-        stream = this::brokenStream;
+    void aResumableStreamContinuesInTheNewIncarnation() throws Exception {
+        stream = this::interruptedStream;
         CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/resumable/x", "r1", SIZE));
         arrived.await();
-        decodeStartsAgain();
-        assertThat(soon(answer)).contains("data: a").contains("data: b").endsWith("0\r\n\r\n");
+        restartDecode();
+        assertThat(awaitWithinHalfTimeout(answer))
+                .contains("data: a")
+                .contains("data: b")
+                .endsWith("0\r\n\r\n");
         assertThat(decode.runs()).hasSize(2);
         assertThat(decode.runs().get(1).header("x-resume")).isEqualTo("1");
     }
 
     @Test
-    void aStreamThatMayNotBeResumedBreaksOffAtOnce() throws Exception {
-        stream = this::brokenStream;
+    void aStreamThatMayNotBeResumedEndsAtOnce() throws Exception {
+        stream = this::interruptedStream;
         CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", "r1", SIZE));
         arrived.await();
-        decodeStartsAgain();
-        assertThat(soon(answer)).contains("data: a").doesNotContain("0\r\n\r\n");
+        restartDecode();
+        assertThat(awaitWithinHalfTimeout(answer)).contains("data: a").doesNotContain("0\r\n\r\n");
         assertThat(decode.runs()).hasSize(1);
     }
 
     /** Returns the one run of a stream that is answered though something starts again while its prompt is read. */
-    private RawRequest runThough(Runnable restart) {
+    private RawRequest runDespiteRestart(Runnable restart) {
         prefill.script((request, connection) -> {
-            if (prompts.get() == 0) {
+            if (prefills.get() == 0) {
                 restart.run();
             }
-            readPrompt(request, connection);
+            answerPrefill(request, connection);
         });
         assertThat(entry.ask("/stream/x", "r1", SIZE))
                 .startsWith("HTTP/1.1 200")
@@ -258,8 +265,8 @@
     }
 
     @Test
-    void aBookingOfTheEarlierLifeIsNeitherUsedNorGivenBack() {
-        RawRequest run = runThough(this::decodeStartsAgain);
+    void aBookingOfThePreviousIncarnationIsNeitherUsedNorReleased() {
+        RawRequest run = runDespiteRestart(this::restartDecode);
         assertThat(run.header("x-booking")).isEqualTo("booking3");
         List<String> released = decode.requests().stream()
                 .map(RawRequest::path)
@@ -269,7 +276,7 @@
     }
 
     @Test
-    void anEndpointAtWhoseAddressAnotherAnswersIsLeftOutUntilItsRegistrationChanges() {
+    void anEndpointAtWhoseAddressAnotherAnswersIsExcludedUntilItsRegistrationChanges() {
         plain.script((request, connection) -> connection.write("HTTP/1.1 421 Misdirected Request\r\nx-id: "
                 + request.header("x-id") + "\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n"));
         for (int i = 0; i < 4; i++) {
@@ -277,13 +284,13 @@
         }
         assertThat(plain.runs()).hasSizeLessThanOrEqualTo(1);
         plain.script((request, connection) -> connection.answer(request, "answer"));
-        plainStartsAgain();
+        restartPlain();
         assertThat(entry.ask("/once/x", "r9")).endsWith("answer");
     }
 
     @Test
-    void aPromptThatTheEarlierLifeReadIsReadAgain() {
-        RawRequest run = runThough(this::prefillStartsAgain);
+    void aPromptPrefilledByThePreviousIncarnationIsPrefilledAgain() {
+        RawRequest run = runDespiteRestart(this::restartPrefill);
         assertThat(run.header("x-kv")).isEqualTo("kv2");
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/RetryBudgetTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/RetryBudgetTest.java
@@ -18,17 +18,17 @@
  */
 @Timeout(60)
 class RetryBudgetTest {
-    private static final String SIZE = "x-tokens: 1000";
-    private static final int REQUESTS = 6;
+    private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
+    private static final int REQUEST_COUNT = 6;
     /** Retries of all entries in a window, of which four fifths are used. */
-    private static final double SLACK = 5;
+    private static final double SLACK_RETRIES = 5;
 
-    private final TestEntry entry = new TestEntry(0, SLACK);
+    private final TestEntry entry = new TestEntry(0, SLACK_RETRIES);
     private final ScriptedEndpoint prefill =
             new ScriptedEndpoint("prefill", (request, connection) -> connection.answer(request, "kv1"));
-    private final ScriptedEndpoint decode = new ScriptedEndpoint("decode", RetryBudgetTest::turnAway);
+    private final ScriptedEndpoint decode = new ScriptedEndpoint("decode", RetryBudgetTest::bookAndReject);
 
-    private static void turnAway(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
+    private static void bookAndReject(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
         if (request.path().startsWith("/control/")) {
             connection.answer(request, "booking");
         } else {
@@ -44,34 +44,34 @@
     }
 
     @Test
-    void eachFurtherArrivalAtAnEngineTakesARetryAlsoTheReadingOfThePrompt() {
-        begin();
-        askAll();
-        int further = prefill.runs().size() + decode.runs().size() - 2 * REQUESTS;
+    void eachRepeatedArrivalAtAnEngineSpendsARetryIncludingThePrefill() {
+        startWithFullSlack();
+        sendRejectedRequests();
+        int further = prefill.runs().size() + decode.runs().size() - 2 * REQUEST_COUNT;
         assertThat(further).isPositive().isLessThanOrEqualTo(4);
     }
 
     // Guards against a reload of the settings that forgets the retries of the window, so that as many are made again.
     @Test
-    void settingsThatAreReadAgainDoNotGiveBackWhatHasBeenSpent() {
-        begin();
-        askAll();
-        entry.readSettingsAgain();
-        askAll();
-        int further = prefill.runs().size() + decode.runs().size() - 2 * 2 * REQUESTS;
+    void reloadingTheSettingsDoesNotRestoreSpentRetries() {
+        startWithFullSlack();
+        sendRejectedRequests();
+        entry.reloadSettings();
+        sendRejectedRequests();
+        int further = prefill.runs().size() + decode.runs().size() - 2 * 2 * REQUEST_COUNT;
         assertThat(further).isPositive().isLessThanOrEqualTo(4);
     }
 
-    private void begin() {
-        entry.routes(5_000);
-        entry.entries(1);
-        entry.awaitWholeSlack();
-        entry.endpoints(prefill.member("s", Stage.PREFILL), decode.member("s", Stage.DECODE));
+    private void startWithFullSlack() {
+        entry.updateRoutes(5_000);
+        entry.updateEntryCount(1);
+        entry.awaitFullSlack();
+        entry.updateEndpoints(prefill.member("s", Stage.PREFILL), decode.member("s", Stage.DECODE));
     }
 
-    private void askAll() {
-        for (int i = 0; i < REQUESTS; i++) {
-            assertThat(entry.ask("/stream/x", "r" + i, SIZE)).startsWith("HTTP/1.1 503");
+    private void sendRejectedRequests() {
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            assertThat(entry.ask("/stream/x", "r" + i, PROMPT_TOKENS_HEADER)).startsWith("HTTP/1.1 503");
         }
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/ScriptedEndpoint.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/ScriptedEndpoint.java
@@ -19,7 +19,7 @@
         void reply(RawRequest request, Connection connection) throws IOException;
     }
 
-    private static final long FIRST_START = 1_000;
+    private static final long FIRST_START_MILLIS = 1_000;
 
     private final RawServer server;
     private final Map<RawConnection, Connection> connections = new ConcurrentHashMap<>();
@@ -58,7 +58,7 @@
     }
 
     Member member(String service, Stage stage) {
-        return member(service, stage, FIRST_START);
+        return member(service, stage, FIRST_START_MILLIS);
     }
 
     /** Returns its registration after a start at the given time. */
@@ -74,7 +74,7 @@
     /** A connection that a script writes to, in the form of {@link TestProtocol}. */
     static final class Connection {
         /** How long a test waits for the entry to close a connection, in milliseconds. */
-        private static final int CLOSE_LIMIT_MILLIS = 5_000;
+        private static final int CLOSE_TIMEOUT_MILLIS = 5_000;
 
         private final RawConnection raw;
 
@@ -122,7 +122,7 @@
 
         /** Returns when the other side has closed the connection. */
         boolean awaitClosed() throws IOException {
-            return raw.awaitClosed(CLOSE_LIMIT_MILLIS);
+            return raw.awaitClosed(CLOSE_TIMEOUT_MILLIS);
         }
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
@@ -24,9 +24,9 @@
 /** An entry on the loopback address, and callers of it. */
 final class TestEntry implements AutoCloseable {
     /** Longest pause in time on the route "paced", in milliseconds: a slow engine's reading fits into it. */
-    private static final long PAUSE_MILLIS = 5_000;
+    private static final long MAX_PAUSE_MILLIS = 5_000;
 
-    private static final int TIME_OUT_MILLIS = 10_000;
+    private static final int TIMEOUT_MILLIS = 10_000;
     /** Window over which retries are counted, in milliseconds. */
     private static final long RETRY_WINDOW_MILLIS = 10_000;
     /** Retries in a window that are enough for any test, also for an entry that has just started. */
@@ -55,12 +55,12 @@
     }
 
     /** Has the settings read again, with a change that the retry budget has no part in. */
-    void readSettingsAgain() {
-        onLoop(() -> process.router().update(settings(false)));
+    void reloadSettings() {
+        runOnEventLoop(() -> process.router().update(settings(false)));
     }
 
     /** Waits until the entry has its whole part of the retry budget's slack. */
-    void awaitWholeSlack() {
+    void awaitFullSlack() {
         try {
             TimeUnit.MILLISECONDS.sleep(RETRY_WINDOW_MILLIS);
         } catch (InterruptedException e) {
@@ -81,30 +81,30 @@
     }
 
     /** Puts three routes in force: {@code /once/}, {@code /many/} and the streams {@code /stream/} and {@code /resumable/}. */
-    void routes(long timeoutMillis) {
-        routes(timeoutMillis, 100);
+    void updateRoutes(long timeoutMillis) {
+        updateRoutes(timeoutMillis, 100);
     }
 
     /** The same, before endpoints that take so many connections from all entries together. */
-    void routes(long timeoutMillis, int maxConnections) {
-        routes(1, timeoutMillis, maxConnections);
+    void updateRoutes(long timeoutMillis, int maxConnections) {
+        updateRoutes(1, timeoutMillis, maxConnections);
     }
 
     /** Puts the routes in force as another version. */
-    void routesOfVersion(long version, long timeoutMillis) {
-        routes(version, timeoutMillis, 100);
+    void updateRoutesToVersion(long version, long timeoutMillis) {
+        updateRoutes(version, timeoutMillis, 100);
     }
 
-    private void routes(long version, long timeoutMillis, int maxConnections) {
+    private void updateRoutes(long version, long timeoutMillis, int maxConnections) {
         List<RouteRule> rules = new ArrayList<>();
         rules.add(rule("once", CallKind.NON_IDEMPOTENT, false, timeoutMillis, 0));
         rules.add(rule("many", CallKind.IDEMPOTENT, false, timeoutMillis, 0));
         rules.add(rule("stream", CallKind.STREAM, false, timeoutMillis, 0));
         rules.add(rule("resumable", CallKind.STREAM, true, timeoutMillis, 0));
-        rules.add(rule("paced", CallKind.STREAM, false, timeoutMillis, PAUSE_MILLIS));
+        rules.add(rule("paced", CallKind.STREAM, false, timeoutMillis, MAX_PAUSE_MILLIS));
         RouteTable table =
                 new RouteTable(version, rules, List.of(new ServiceRule("s", maxConnections)), CallerLimits.DEFAULT);
-        onLoop(() -> process.router().update(table));
+        runOnEventLoop(() -> process.router().update(table));
     }
 
     private static RouteRule rule(String name, CallKind kind, boolean resumable, long timeoutMillis, long pauseMillis) {
@@ -123,18 +123,18 @@
                 resumable);
     }
 
-    void endpoints(Member... members) {
-        onLoop(() -> {
+    void updateEndpoints(Member... members) {
+        runOnEventLoop(() -> {
             process.directory().update(List.of(members));
             process.router().routeEarlyRequests();
         });
     }
 
-    void entries(int counted) {
-        onLoop(() -> process.router().entries(new EntryCount(counted, 0)));
+    void updateEntryCount(int counted) {
+        runOnEventLoop(() -> process.router().entries(new EntryCount(counted, 0)));
     }
 
-    private void onLoop(Runnable call) {
+    private void runOnEventLoop(Runnable call) {
         CountDownLatch done = new CountDownLatch(1);
         process.timers().soon(() -> {
             call.run();
@@ -174,7 +174,7 @@
         Caller(InetSocketAddress address) {
             try {
                 socket = new Socket(address.getAddress(), address.getPort());
-                socket.setSoTimeout(TIME_OUT_MILLIS);
+                socket.setSoTimeout(TIMEOUT_MILLIS);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
