--- a/gateway/src/test/java/org/quetzalseam/gateway/DrainingEntryTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/DrainingEntryTest.java
@@ -16,22 +16,23 @@
 import org.quetzalseam.standins.raw.RawRequest;
 
 /**
- * What an entry still takes after it has been told to stop.
+ * Tests which requests an entry still accepts after the signal to stop.
  *
- * <p>Seen: all entries of a site were stopped a second apart. One took a stream 3.02 s after its signal and cut it 4.7 s later,
- * when its grace period of 8 s ended, though engine and network were well. Streams of that length were usual: five that had just
- * ended had lasted longer than what was left to this one. The cause: the end of listening, looked at every 50 ms, was the only
- * bound, and nothing compared what a request would take with the time left for it. Proof: the entry's log has the stream booked
- * 3.02 s after {@code leaving} and {@code requests_cut=1} at the end; both ways in which it can have come are brought about here.
+ * <p>Guards against a stream that is accepted during the grace period and cut at its end, although engine and network
+ * work. When all entries of a site were stopped a second apart, one accepted a stream 3.02 s after its signal and cut
+ * it 4.7 s later, when its grace period of 8 s ended ({@code requests_cut=1} in its log). That happens if the only
+ * bound is the end of listening, which is checked every 50 ms, and nothing compares the expected duration of a request
+ * with the time left: five streams that had just ended had lasted longer than that. Such a request can be sent during
+ * the grace period, or be partly received before the signal; both cases are tested.
  */
 @Timeout(60)
 class DrainingEntryTest {
     private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
-    /** How long each stream of the engine lasts, in milliseconds. */
+    /** Duration of each stream of the engine, in milliseconds. */
     private static final long STREAM_MILLIS = 1_500;
-    /** Streams from which the entry can learn how long they last. */
+    /** Number of requests from whose durations the entry estimates how long another one takes. */
     private static final int SAMPLE_COUNT = 20;
-    /** The grace period, in milliseconds: long enough for one stream that begins at once, too short for one begun later. */
+    /** Grace period, in milliseconds: long enough for a stream that starts at once, too short for one that starts later. */
     private static final long GRACE_MILLIS = 3_000;
 
     private final TestEntry entry = new TestEntry();
@@ -84,13 +85,13 @@
         answers.forEach(answer -> assertThat(answer.join()).endsWith("0\r\n\r\n"));
     }
 
-    /** Ends the process as the signal to stop does: what is still under way after the grace period is cut. */
     private void recordCallDurations() {
         for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/many/x", "call" + i)).startsWith("HTTP/1.1 200");
         }
     }
 
+    /** Ends the process as the stop signal does: requests that are still in progress after the grace period are cut. */
     private CompletableFuture<Void> shutDown() {
         return shutDown(GRACE_MILLIS);
     }
@@ -107,51 +108,52 @@
     @Test
     void aStreamThatWouldOutlastTheGracePeriodIsRefusedInsteadOfCut() {
         recordStreamDurations();
-        CompletableFuture<Void> left = shutDown();
+        CompletableFuture<Void> shutdown = shutDown();
         sleep(1_300);
         int runsBefore = engine.runs().size();
         String answer = entry.ask("/stream/x", "late", PROMPT_TOKENS_HEADER);
         assertThat(answer).startsWith("HTTP/1.1 503").contains("x-come-back: ").contains("connection: close");
         assertThat(engine.runs()).as("nothing of it has run").hasSize(runsBefore);
-        left.join();
+        shutdown.join();
     }
 
     @Test
     void aStreamThatEndsWithinTheGracePeriodIsStillAccepted() {
         recordStreamDurations();
-        CompletableFuture<Void> left = shutDown();
+        CompletableFuture<Void> shutdown = shutDown();
         sleep(100);
         assertThat(entry.ask("/stream/x", "soon", PROMPT_TOKENS_HEADER))
                 .startsWith("HTTP/1.1 200")
                 .endsWith("0\r\n\r\n");
-        left.join();
+        shutdown.join();
     }
 
     /**
-     * Callers whom nobody keeps away come until the end. Each gets a whole answer or a refusal that says when to come back; quick
-     * calls are answered long after the balancer must have noticed, as nobody else may be there; and the end comes in time.
+     * Callers that no balancer redirects keep sending until the end. Each gets a complete answer or a refusal with a retry
+     * time; quick calls are answered long after a balancer must have noticed the shutdown, because there may be no other
+     * entry; and the entry ends in time.
      */
     @Test
     void anEntryUnderConstantLoadCutsNothingAndServesWhatItCanUntilItEnds() {
         recordStreamDurations();
         recordCallDurations();
         long grace = 5_000;
-        long begun = System.nanoTime();
-        CompletableFuture<Void> left = shutDown(grace);
+        long startNanos = System.nanoTime();
+        CompletableFuture<Void> shutdown = shutDown(grace);
         List<CompletableFuture<String>> streams = new ArrayList<>();
         long lastServed = 0;
-        while (!left.isDone()) {
+        while (!shutdown.isDone()) {
             String id = "r" + streams.size();
             streams.add(CompletableFuture.supplyAsync(() -> askOrEmpty("/stream/x", id), threads));
             String quick = askOrEmpty("/many/x", id + "q");
             if (quick.startsWith("HTTP/1.1 200")) {
-                lastServed = elapsedMillis(begun);
+                lastServed = elapsedMillis(startNanos);
             } else {
                 assertThat(quick).matches(DrainingEntryTest::isRefusedOrUnread);
             }
             sleep(20);
         }
-        assertThat(elapsedMillis(begun)).isBetween(grace - 1_000, grace);
+        assertThat(elapsedMillis(startNanos)).isBetween(grace - 1_000, grace);
         assertThat(lastServed).isGreaterThan(grace - 1_500);
         assertThat(streams)
                 .extracting(CompletableFuture::join)
@@ -160,15 +162,15 @@
                 .anyMatch(answer -> answer.startsWith("HTTP/1.1 200"));
     }
 
-    private static long elapsedMillis(long nanos) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
+    private static long elapsedMillis(long startNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
-    /** Returns nothing where the entry has gone, or goes before it has read the request. */
+    /** Returns an empty answer if the entry has ended, or ends before it has read the request. */
     private String askOrEmpty(String path, String id) {
         try {
             return entry.ask(path, id, PROMPT_TOKENS_HEADER);
-        } catch (IllegalStateException gone) {
+        } catch (IllegalStateException closed) {
             return "";
         }
     }
@@ -184,11 +186,11 @@
             caller.write("POST /stream/x HTTP/1.1\r\nHost: h\r\nx-id: slow\r\n" + PROMPT_TOKENS_HEADER
                     + "\r\nContent-Length: 2\r\n\r\nh");
             sleep(100);
-            CompletableFuture<Void> left = shutDown();
+            CompletableFuture<Void> shutdown = shutDown();
             sleep(1_300);
             caller.write("i");
             assertThat(caller.readAll()).startsWith("HTTP/1.1 503").contains("x-come-back: ");
-            left.join();
+            shutdown.join();
         }
         assertThat(engine.runs()).isEmpty();
     }
--- a/gateway/src/test/java/org/quetzalseam/gateway/EntryShutdownTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/EntryShutdownTest.java
@@ -21,19 +21,19 @@
 import org.quetzalseam.core.fleet.Stage;
 import org.quetzalseam.standins.raw.RawRequest;
 
-/** What becomes of the requests that a leaving entry has, when it ends and when something goes wrong before that. */
+/** Tests what happens to the requests of a draining entry when it ends, and when something fails before that. */
 @Timeout(60)
 class EntryShutdownTest {
     private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
-    /** How long each whole stream of the engine lasts, in milliseconds. */
+    /** Duration of each complete stream of the engine, in milliseconds. */
     private static final long STREAM_MILLIS = 1_500;
-    /** Streams from which the entry can learn how long they last. */
+    /** Number of requests from whose durations the entry estimates how long another one takes. */
     private static final int SAMPLE_COUNT = 20;
-    /** The grace period, in milliseconds: long enough for one stream that begins at once, too short for one begun later. */
+    /** Grace period, in milliseconds: long enough for a stream that starts at once, too short for one that starts later. */
     private static final long GRACE_MILLIS = 3_000;
-    /** A body that doesn't fit the buffers between an entry and a caller who doesn't read. */
+    /** Size of a body that does not fit into the buffers between an entry and a caller that does not read. */
     private static final int LARGE_BYTES = 7 * 1024 * 1024;
-    /** What a caller who reads late lets in before that, in bytes. */
+    /** Receive buffer of a caller that reads late, in bytes. */
     private static final int SMALL_WINDOW_BYTES = 16 * 1024;
 
     private final TestEntry entry = new TestEntry();
@@ -93,7 +93,7 @@
         answers.forEach(answer -> assertThat(answer.join()).endsWith("0\r\n\r\n"));
     }
 
-    /** Ends the process as the signal to stop does: what is still under way after the grace period is cut. */
+    /** Ends the process as the stop signal does: requests that are still in progress after the grace period are cut. */
     private CompletableFuture<Void> shutDown(long graceMillis) {
         return CompletableFuture.runAsync(
                 () -> {
@@ -119,56 +119,56 @@
         caller.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns how many bytes come, and whether they end with a reset. */
+    /** Returns the number of bytes received until the connection ends, in order or with a reset. */
     private static long readAll(Socket caller) throws IOException {
         InputStream in = caller.getInputStream();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         try {
             in.transferTo(all);
         } catch (IOException reset) {
-            // What came before it counts.
+            // The bytes received before the reset count.
         }
         return all.size();
     }
 
-    /** The one behind waits for its turn and is never begun: it must not take the connection from the one before it. */
+    /** The second request is queued and never started: it must not take over the connection of the first. */
     @Test
     void aRequestCutAtTheEndGetsAnErrorAlthoughAnotherIsQueuedBehindIt() throws Exception {
         try (TestEntry.Caller caller = entry.caller()) {
             caller.write(requestText("first") + requestText("second"));
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = shutDown(800);
+            CompletableFuture<Void> shutdown = shutDown(800);
             assertThat(caller.readAll()).startsWith("HTTP/1.1 502").contains("this entry stops");
-            left.join();
+            shutdown.join();
         }
         assertThat(service.runs()).hasSize(1);
     }
 
-    /** The answer has been handed to the connection, not to the caller: the process mustn't end with it. */
+    /** The answer has been written to the connection but not received by the caller: the process must not end yet. */
     @Test
     void anAnswerThatItsCallerReadsSlowlyIsCompleteAlthoughNothingElseIsInProgress() throws Exception {
         try (Socket caller = connectWithSmallWindow()) {
             write(caller, requestText("slow"));
             mayAnswer.complete(null);
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = shutDown(12_000);
+            CompletableFuture<Void> shutdown = shutDown(12_000);
             sleep(5_000);
             assertThat(readAll(caller)).isGreaterThan(LARGE_BYTES);
-            left.join();
+            shutdown.join();
         }
     }
 
-    /** Its caller sends a long prompt: it gets an answer or a refusal while there is time for one, not a lost connection. */
+    /** A caller that is still sending a long prompt gets an answer or a refusal while there is time, not a lost connection. */
     @Test
     void aRequestThatIsStillBeingSentKeepsTheEntryFromEndingEarly() throws Exception {
         try (TestEntry.Caller caller = entry.caller()) {
             caller.write("POST /once/x HTTP/1.1\r\nHost: h\r\nx-id: long\r\nContent-Length: 2\r\n\r\nh");
             sleep(100);
-            CompletableFuture<Void> left = shutDown(8_000);
+            CompletableFuture<Void> shutdown = shutDown(8_000);
             sleep(4_000);
             caller.write("i");
             assertThat(caller.readAll()).startsWith("HTTP/1.1 503").contains("x-come-back: ");
-            left.join();
+            shutdown.join();
         }
     }
 
@@ -182,18 +182,18 @@
         try (TestEntry.Caller caller = entry.caller()) {
             caller.write(requestText("last"));
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = shutDown(60_000);
+            CompletableFuture<Void> shutdown = shutDown(60_000);
             sleep(4_000);
-            assertThat(left).as("something is under way").isNotDone();
+            assertThat(shutdown).as("a request is in progress").isNotDone();
             mayAnswer.complete(null);
             assertThat(caller.readAll()).endsWith("late but whole");
-            left.get(5, TimeUnit.SECONDS);
+            shutdown.get(5, TimeUnit.SECONDS);
         }
     }
 
     /**
-     * Between its end and that of its process an entry writes its last answers. What a caller sends on an idle connection in that time
-     * could be passed on and not be answered any more.
+     * Guards against a request that is forwarded but never answered: between its end and the end of its process an entry
+     * writes its last answers, while a caller may still send a request on an idle connection.
      */
     @Test
     void aRequestThatArrivesWhenTheEntryHasEndedIsNotForwarded() throws Exception {
@@ -202,14 +202,14 @@
             caller.write(requestText("before"));
             awaitFirstRun();
             assertThat(service.runs()).hasSize(1);
-            CompletableFuture<Void> left = shutDown(60_000);
+            CompletableFuture<Void> shutdown = shutDown(60_000);
             awaitClosedListener();
             try {
                 caller.write(requestText("crossing"));
             } catch (IllegalStateException expected) {
-                // The connection is closed already.
+                // The connection is already closed.
             }
-            left.get(5, TimeUnit.SECONDS);
+            shutdown.get(5, TimeUnit.SECONDS);
             assertThat(service.runs()).hasSize(1);
         }
     }
@@ -232,7 +232,7 @@
         }
     }
 
-    /** Its answer could not be given any more: the connection is announced to close. */
+    /** Its answer could no longer be delivered, because the first answer announces that the connection closes. */
     @Test
     void aRequestBehindAnAnswerThatClosesTheConnectionIsNotRun() throws Exception {
         service.script((request, connection) -> connection.answer(request, "quick"));
@@ -243,12 +243,12 @@
         try (Socket caller = connectWithSmallWindow()) {
             write(caller, requestText("first") + requestText("second"));
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = shutDown(8_000);
+            CompletableFuture<Void> shutdown = shutDown(8_000);
             sleep(200);
             mayAnswer.complete(null);
             sleep(1_000);
-            assertThat(readAll(caller)).as("the first answer is whole").isGreaterThan(LARGE_BYTES);
-            left.join();
+            assertThat(readAll(caller)).as("the first answer is complete").isGreaterThan(LARGE_BYTES);
+            shutdown.join();
         }
         assertThat(service.runs())
                 .extracting(run -> run.header("x-id"))
@@ -256,7 +256,7 @@
                 .doesNotContain("second");
     }
 
-    /** What is left of it is shorter than a whole one, and it can't be refused any more: its caller has a part of it. */
+    /** The rest of it is shorter than a complete stream, and it can no longer be refused because its caller has a part of it. */
     @Test
     void aStartedStreamResumesAtAnotherEngineAlthoughACompleteOneWouldNotEndInTime() throws Exception {
         recordStreamDurations("/resumable/x");
@@ -278,19 +278,19 @@
         CompletableFuture<String> answer =
                 CompletableFuture.supplyAsync(() -> entry.ask("/resumable/x", "broken", PROMPT_TOKENS_HEADER), threads);
         sleep(200);
-        CompletableFuture<Void> left = shutDown(GRACE_MILLIS);
+        CompletableFuture<Void> shutdown = shutDown(GRACE_MILLIS);
         assertThat(answer.join()).contains("id: 1").contains("id: 2").endsWith("0\r\n\r\n");
-        left.join();
+        shutdown.join();
     }
 
-    /** A full service has room again long before this entry ends, which still takes such calls. */
+    /** A full service has capacity again long before this entry, which still accepts such calls, ends. */
     @Test
     void aCallRefusedByAFullServiceIsNotToldToWaitUntilTheDrainingEntryIsReplaced() {
         service.script((request, connection) -> connection.answer(request, "quick"));
         for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/once/x", "learnt" + i)).startsWith("HTTP/1.1 200");
         }
-        CompletableFuture<Void> left = shutDown(8_000);
+        CompletableFuture<Void> shutdown = shutDown(8_000);
         service.script((request, connection) -> connection.reject(request));
         for (int i = 0; i < 33; i++) {
             entry.ask("/once/x", "kept" + i);
@@ -301,7 +301,7 @@
         assertThat(refused).startsWith("HTTP/1.1 503").contains("the service is full");
         assertThat(retryAfterMillis(refused)).isLessThan(1_000);
         assertThat(entry.ask("/once/x", "again")).startsWith("HTTP/1.1 200");
-        left.join();
+        shutdown.join();
     }
 
     private static long retryAfterMillis(String answer) {
@@ -310,7 +310,7 @@
         return Long.parseLong(answer.substring(at, answer.indexOf('\r', at)));
     }
 
-    /** A connection that ends without an answer says nothing: its request must not have reached anybody. */
+    /** A connection that ends without an answer reports no outcome, so its request must not have reached any endpoint. */
     @Test
     void aRequestWithoutAnAnswerAtTheEndHasNotRun() {
         service.script((request, connection) -> connection.answer(request, "quick"));
@@ -318,9 +318,9 @@
         for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/once/x", "learnt" + i)).startsWith("HTTP/1.1 200");
         }
-        CompletableFuture<Void> left = shutDown(GRACE_MILLIS);
+        CompletableFuture<Void> shutdown = shutDown(GRACE_MILLIS);
         List<CompletableFuture<List<String>>> answers = new ArrayList<>();
-        while (!left.isDone()) {
+        while (!shutdown.isDone()) {
             answers.add(ask("/once/x", "call" + answers.size()));
             answers.add(ask("/stream/x", "stream" + answers.size()));
             sleep(5);
@@ -335,13 +335,13 @@
         });
     }
 
-    /** Returns the id and the answer, empty where the entry has gone. */
+    /** Returns the id and the answer, which is empty if the entry has ended. */
     private CompletableFuture<List<String>> ask(String path, String id) {
         return CompletableFuture.supplyAsync(
                 () -> {
                     try {
                         return List.of(id, entry.ask(path, id, PROMPT_TOKENS_HEADER));
-                    } catch (IllegalStateException gone) {
+                    } catch (IllegalStateException closed) {
                         return List.of(id, "");
                     }
                 },
@@ -351,29 +351,29 @@
     @Test
     void aSecondSignalDoesNotPostponeTheEndOfTheGracePeriod() {
         recordStreamDurations("/stream/x");
-        CompletableFuture<Void> left = shutDown(GRACE_MILLIS);
+        CompletableFuture<Void> shutdown = shutDown(GRACE_MILLIS);
         sleep(1_300);
-        CompletableFuture<Void> again = shutDown(GRACE_MILLIS);
+        CompletableFuture<Void> secondShutdown = shutDown(GRACE_MILLIS);
         sleep(100);
         assertThat(entry.ask("/stream/x", "late", PROMPT_TOKENS_HEADER)).startsWith("HTTP/1.1 503");
-        left.join();
-        again.join();
+        shutdown.join();
+        secondShutdown.join();
     }
 
-    /** Without a length or chunks its end is the connection's: an orderly one would say that it is complete. */
+    /** Without a length or chunks an answer ends with its connection, so an orderly close would mark it as complete. */
     @Test
     void anAnswerDelimitedByTheConnectionDoesNotLookCompleteWhenItIsCut() throws Exception {
         try (TestEntry.Caller caller = entry.caller()) {
             caller.write("POST /stream/x HTTP/1.0\r\nHost: h\r\nx-id: old\r\n" + PROMPT_TOKENS_HEADER
                     + "\r\nContent-Length: 0\r\n\r\n");
             assertThat(caller.readUntil("data: a\n\n")).startsWith("HTTP/1.1 200");
-            CompletableFuture<Void> left = shutDown(600);
+            CompletableFuture<Void> shutdown = shutDown(600);
             assertThat(caller.readAll()).endsWith("[reset]");
-            left.join();
+            shutdown.join();
         }
     }
 
-    /** Failures come faster than what they stand for: they tell nothing of how long a good answer takes. */
+    /** Failures are faster than successful answers, so they must not count in the estimate of how long an answer takes. */
     @Test
     void quickFailuresDoNotLowerTheExpectedDurationOfACall() {
         service.script((request, connection) -> connection.write("HTTP/1.1 500 Failed\r\nx-id: "
@@ -385,9 +385,9 @@
             sleep(STREAM_MILLIS);
             connection.answer(request, "good");
         });
-        CompletableFuture<Void> left = shutDown(1_500);
+        CompletableFuture<Void> shutdown = shutDown(1_500);
         sleep(100);
         assertThat(entry.ask("/once/x", "long")).startsWith("HTTP/1.1 503");
-        left.join();
+        shutdown.join();
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/GenerationTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/GenerationTest.java
@@ -40,7 +40,7 @@
         connection.answer(request, request.path().startsWith("/control/") ? "" : "kv1");
     }
 
-    /** An engine that takes bookings unless it is full, and streams by the script. */
+    /** Returns a script of an engine that grants bookings unless it is full, and streams by the given script. */
     private ScriptedEndpoint.Script engine(ScriptedEndpoint.Script stream) {
         return (request, connection) -> {
             if (request.path().startsWith("/control/reserve") && full.get()) {
@@ -79,7 +79,7 @@
                 .endsWith("0\r\n\r\n");
         assertThat(prefill.runs())
                 .singleElement()
-                .satisfies(read -> assertThat(read.header("x-prefill")).isEqualTo("1"));
+                .satisfies(run -> assertThat(run.header("x-prefill")).isEqualTo("1"));
         assertThat(decode.runs()).singleElement().satisfies(run -> {
             assertThat(run.header("x-kv")).isEqualTo("kv1");
             assertThat(run.header("x-booking")).isEqualTo("booking1");
@@ -194,7 +194,7 @@
         assertThat(prefill.runs()).hasSize(2);
     }
 
-    /** An engine that changes stage still grants bookings and looks like the emptiest, as nothing runs there. */
+    /** An engine that changes stage still grants bookings and looks like the emptiest, because nothing runs there. */
     @Test
     void anEngineThatRejectsAllRequestsIsUsedOnceAlthoughItLooksLikeTheEmptiest() {
         ScriptedEndpoint changing =
@@ -238,14 +238,14 @@
 
     @Test
     void aCallerThatDisconnectsDuringPrefillLeavesNoBookingBehind() throws Exception {
-        CompletableFuture<Void> reading = new CompletableFuture<>();
+        CompletableFuture<Void> prefillStarted = new CompletableFuture<>();
         prefill.script((request, connection) -> {
-            reading.complete(null);
+            prefillStarted.complete(null);
             connection.awaitClosed();
         });
         try (TestEntry.Caller caller = entry.caller()) {
             caller.send("/stream/x", "r1", PROMPT_TOKENS_HEADER);
-            reading.get(10, TimeUnit.SECONDS);
+            prefillStarted.get(10, TimeUnit.SECONDS);
         }
         for (int i = 0;
                 i < 100 && !controlPaths(decode, "/control/release").contains("/control/release/booking1");
--- a/gateway/src/test/java/org/quetzalseam/gateway/ListeningTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/ListeningTest.java
@@ -10,12 +10,12 @@
     @Test
     void anEntryOnPortZeroReportsThePortsThatItListensOn() {
         try (TestEntry entry = new TestEntry()) {
-            List<InetSocketAddress> told = List.of(
+            List<InetSocketAddress> addresses = List.of(
                     entry.listening().callers(),
                     entry.listening().ready(),
                     entry.listening().metrics());
-            assertThat(told).doesNotHaveDuplicates().noneMatch(address -> address.getPort() == 0);
-            for (InetSocketAddress address : told) {
+            assertThat(addresses).doesNotHaveDuplicates().noneMatch(address -> address.getPort() == 0);
+            for (InetSocketAddress address : addresses) {
                 try (TestEntry.Caller caller = new TestEntry.Caller(address)) {
                     caller.write("GET /metrics HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
                     assertThat(caller.readAll()).startsWith("HTTP/1.1 ");
--- a/gateway/src/test/java/org/quetzalseam/gateway/PlainCallTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/PlainCallTest.java
@@ -185,14 +185,14 @@
     @Test
     void anEndpointThatNeverAnswersIsDetectedByTheRequestsThatTimeOut() {
         one.script((request, connection) -> connection.awaitClosed());
-        try (TestEntry impatient = new TestEntry()) {
-            impatient.updateRoutes(100);
-            impatient.updateEndpoints(one.member("s", Stage.WHOLE), two.member("s", Stage.WHOLE));
+        try (TestEntry shortTimeout = new TestEntry()) {
+            shortTimeout.updateRoutes(100);
+            shortTimeout.updateEndpoints(one.member("s", Stage.WHOLE), two.member("s", Stage.WHOLE));
             for (int i = 0; i < 60 && one.runs().size() < 3; i++) {
-                impatient.ask("/once/x", "r" + i);
+                shortTimeout.ask("/once/x", "r" + i);
             }
             for (int i = 0; i < 10; i++) {
-                assertThat(impatient.ask("/once/x", "s" + i)).endsWith("second");
+                assertThat(shortTimeout.ask("/once/x", "s" + i)).endsWith("second");
             }
         }
     }
@@ -208,14 +208,14 @@
     @Test
     void aDrainingEndpointGetsNoNewRequests() {
         useBoth();
-        var leaving = one.member("s", Stage.WHOLE);
+        var draining = one.member("s", Stage.WHOLE);
         entry.updateEndpoints(
                 new org.quetzalseam.core.fleet.Member(
-                        leaving.id(),
-                        leaving.startMillis(),
+                        draining.id(),
+                        draining.startMillis(),
                         "s",
-                        leaving.host(),
-                        leaving.port(),
+                        draining.host(),
+                        draining.port(),
                         "a",
                         4,
                         true,
@@ -233,11 +233,11 @@
 
     @Test
     void aRequestThatArrivesBeforeTheRoutesWaitsForThem() throws Exception {
-        try (TestEntry young = new TestEntry();
-                TestEntry.Caller caller = young.caller()) {
+        try (TestEntry newEntry = new TestEntry();
+                TestEntry.Caller caller = newEntry.caller()) {
             caller.send("/once/x", "r1");
-            young.updateEndpoints(one.member("s", Stage.WHOLE));
-            young.updateRoutes(5_000);
+            newEntry.updateEndpoints(one.member("s", Stage.WHOLE));
+            newEntry.updateRoutes(5_000);
             assertThat(caller.readUntil("first")).startsWith("HTTP/1.1 200 OK");
         }
     }
@@ -258,30 +258,30 @@
     @Test
     void aDrainingEntryFinishesAcceptedRequestsAndClosesTheConnection() throws Exception {
         CompletableFuture<Void> arrived = new CompletableFuture<>();
-        CompletableFuture<Void> goOn = new CompletableFuture<>();
+        CompletableFuture<Void> mayAnswer = new CompletableFuture<>();
         one.script((request, connection) -> {
             arrived.complete(null);
-            goOn.join();
+            mayAnswer.join();
             connection.answer(request, "late but whole");
         });
         try (TestEntry.Caller caller = entry.caller()) {
             caller.send("/once/x", "r1");
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left =
+            CompletableFuture<Void> drain =
                     CompletableFuture.runAsync(() -> entry.process().drain(8_000));
             TimeUnit.MILLISECONDS.sleep(100);
-            goOn.complete(null);
+            mayAnswer.complete(null);
             assertThat(caller.readAll()).contains("connection: close").endsWith("late but whole");
-            left.get(10, TimeUnit.SECONDS);
+            drain.get(10, TimeUnit.SECONDS);
         }
     }
 
     @Test
     @Timeout(60)
     void anEndpointIsGivenNoMoreConnectionsThanThisEntrysShare() throws Exception {
-        CompletableFuture<Void> goOn = new CompletableFuture<>();
+        CompletableFuture<Void> mayAnswer = new CompletableFuture<>();
         one.script((request, connection) -> {
-            goOn.join();
+            mayAnswer.join();
             connection.answer(request, "first");
         });
         try (TestEntry sharing = new TestEntry()) {
@@ -296,12 +296,13 @@
             while (answers.stream().filter(CompletableFuture::isDone).count() < 5) {
                 TimeUnit.MILLISECONDS.sleep(20);
             }
-            goOn.complete(null);
-            List<String> got = answers.stream().map(CompletableFuture::join).toList();
-            assertThat(got)
+            mayAnswer.complete(null);
+            List<String> received =
+                    answers.stream().map(CompletableFuture::join).toList();
+            assertThat(received)
                     .filteredOn(answer -> answer.startsWith("HTTP/1.1 200"))
                     .hasSize(4);
-            assertThat(got)
+            assertThat(received)
                     .filteredOn(answer -> answer.startsWith("HTTP/1.1 503"))
                     .hasSize(5);
             assertThat(one.connections()).isEqualTo(4);
--- a/gateway/src/test/java/org/quetzalseam/gateway/PrefillTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/PrefillTest.java
@@ -14,10 +14,10 @@
 import org.quetzalseam.core.fleet.Stage;
 import org.quetzalseam.standins.raw.RawRequest;
 
-/** Prompts at engines that are slower than this project has ever seen, silent, or too full. */
+/** Tests prompts at prefill engines that are very slow, unresponsive or overloaded. */
 class PrefillTest {
     private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
-    /** Longer than any fixed limit that suits a fast engine. */
+    /** Duration of a slow prefill, in milliseconds; longer than any fixed limit that suits a fast engine. */
     private static final long SLOW_PREFILL_MILLIS = 1_200;
 
     private final TestEntry entry = new TestEntry();
@@ -81,12 +81,12 @@
     }
 
     private List<String> askConcurrently(String path, String prefix, int count) {
-        List<CompletableFuture<String>> asked = new ArrayList<>();
+        List<CompletableFuture<String>> answers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String id = prefix + i;
-            asked.add(CompletableFuture.supplyAsync(() -> entry.ask(path, id, PROMPT_TOKENS_HEADER)));
+            answers.add(CompletableFuture.supplyAsync(() -> entry.ask(path, id, PROMPT_TOKENS_HEADER)));
         }
-        return asked.stream().map(CompletableFuture::join).toList();
+        return answers.stream().map(CompletableFuture::join).toList();
     }
 
     @Test
@@ -98,18 +98,18 @@
     }
 
     /**
-     * The only prefill engine took a prompt and said nothing more. Its caller was kept until the route's limit of 30 s, though callers
-     * leave a stream that shows nothing for 8 s here: {@code caller-gone … age_ms=8012} (soak, seed 1026), and no refusal that would
-     * have let it ask elsewhere.
+     * Guards against a caller that waits too long for the only prefill engine, which accepted its prompt and then sent
+     * nothing. Kept until the route's limit of 30 s, the caller disconnects after 8 s without output (8012 ms in a soak run
+     * with seed 1026) and never gets a refusal that would let it retry elsewhere.
      */
     @Test
     void aPromptThatItsOnlyEngineDoesNotPrefillIsRefusedBeforeItsCallerDisconnects() {
         entry.updateRoutesToVersion(2, 30_000);
         entry.updateEndpoints(first.member("s", Stage.PREFILL), decode.member("s", Stage.DECODE));
         first.script((request, connection) -> sleep(20_000));
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         String answer = entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER, "x-patience: 30000");
-        long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
+        long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
         assertThat(answer).startsWith("HTTP/1.1 503").contains("x-come-back");
         assertThat(tookMillis).isLessThan(8_000);
     }
@@ -150,7 +150,10 @@
         assertThat(answers).allMatch(answer -> answer.startsWith("HTTP/1.1 200"));
     }
 
-    /** Before any engine has answered four prompts are begun at two of them; the others of a burst wait, and none is refused. */
+    /**
+     * Before any engine has answered, four prompts are started at two engines; the rest of a burst is queued, and none is
+     * refused.
+     */
     @Test
     void promptsThatExceedTheEnginesCapacityAreQueuedAndPrefilledLater() {
         first.script(prefillAfter(SLOW_PREFILL_MILLIS / 4));
@@ -159,7 +162,7 @@
         assertThat(prefillCount()).isEqualTo(8);
     }
 
-    /** Two slow engines have a burst of twelve prompts: some would be read after the objective, where a decode engine is in time. */
+    /** Of a burst of twelve prompts two slow engines would prefill some after the objective; a decode engine is in time. */
     @Test
     void aDecodeEnginePrefillsWhatPrefillEnginesWouldFinishTooLate() {
         entry.updateEntryCount(1);
@@ -179,10 +182,10 @@
         second.script(prefillAfter(SLOW_PREFILL_MILLIS));
         askConcurrently("warm", 2);
         int before = bookings.get();
-        int readsBefore = prefillCount();
+        int prefillsBefore = prefillCount();
         String answer = entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER, "x-patience: 300");
         assertThat(answer).startsWith("HTTP/1.1 503").contains("x-come-back: ");
         assertThat(bookings.get()).isEqualTo(before);
-        assertThat(prefillCount()).isEqualTo(readsBefore);
+        assertThat(prefillCount()).isEqualTo(prefillsBefore);
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/RestartedEndpointTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/RestartedEndpointTest.java
@@ -14,14 +14,14 @@
 import org.quetzalseam.core.fleet.Stage;
 import org.quetzalseam.standins.raw.RawRequest;
 
-/** An endpoint that starts again under its id holds and knows nothing of its earlier life. */
+/** Tests an endpoint that restarts under the same id and has no state of its previous incarnation. */
 class RestartedEndpointTest {
     private static final String SIZE = "x-tokens: 1000";
-    /** Time limit of the routes, in milliseconds; what is answered in half of it didn't wait for it. */
+    /** Timeout of the routes, in milliseconds; an answer within half of it did not wait for it. */
     private static final long TIMEOUT_MILLIS = 5_000;
 
     private static final long SECOND_START_MILLIS = 2_000;
-    /** Longer than the replies of an ended life are waited for. */
+    /** Longer than the entry waits for replies of an ended incarnation, in milliseconds. */
     private static final long LATE_REPLY_MILLIS = 700;
 
     private final TestEntry entry = new TestEntry();
@@ -89,7 +89,7 @@
                 decode.member("s", Stage.DECODE));
     }
 
-    /** The first life goes silent over a request; the second answers. */
+    /** Leaves a request unanswered in the first incarnation and answers in the second. */
     private void unresponsiveThenAnswering(RawRequest request, ScriptedEndpoint.Connection connection)
             throws IOException {
         if (arrived.getCount() > 0) {
@@ -149,16 +149,17 @@
         assertThat(awaitWithinHalfTimeout(answer)).startsWith("HTTP/1.1 200").endsWith("late");
     }
 
-    /** Ends the plain endpoint's first life as a crash does: what was under way there breaks off. */
+    /** Ends the plain endpoint's first incarnation as a crash does: requests in progress there fail. */
     private void crashPlain() {
         plain.script((request, connection) -> connection.reset());
         assertThat(entry.ask("/once/x", "first")).startsWith("HTTP/1.1 502");
     }
 
     /**
-     * An endpoint that has crashed is up again before its start is listed, and takes calls at its address from then on. When its start
-     * was listed, the entry took all that was under way there for a part of the earlier life, and told it lost a moment later although
-     * the new life was working on it: {@code endpoint-started-again … outstanding=1}, then a 502.
+     * Guards against a call that is reported as lost (502) although the new incarnation is processing it. A crashed
+     * endpoint accepts calls at its address as soon as it is up, before its new start time is listed. An entry that assigns
+     * all calls in progress to the previous incarnation when the start is listed ({@code endpoint-started-again …
+     * outstanding=1}) gives them up a moment later.
      */
     @Test
     void aCallAcceptedByTheNewIncarnationBeforeItIsListedIsAnswered() throws Exception {
@@ -178,17 +179,17 @@
         assertThat(plain.runs()).hasSize(2);
     }
 
-    /** A stream that the new life has begun goes on in the same way, also where it may not be resumed. */
+    /** A stream that the new incarnation has started continues in the same way, even if it may not be resumed. */
     @Test
     void aStreamStartedByTheNewIncarnationBeforeItIsListedIsNotCut() throws Exception {
         stream = (request, connection) -> connection.reset();
         assertThat(entry.ask("/stream/x", "first", SIZE)).doesNotContain("data: a");
-        CountDownLatch mayGoOn = new CountDownLatch(1);
+        CountDownLatch mayContinue = new CountDownLatch(1);
         stream = (request, connection) -> {
             connection.beginStream(request);
             connection.chunk("id: 1\ndata: a\n\n");
             arrived.countDown();
-            await(mayGoOn);
+            await(mayContinue);
             connection.chunk("id: 2\ndata: b\n\n");
             connection.endStream();
         };
@@ -196,7 +197,7 @@
         arrived.await();
         restartDecode();
         TimeUnit.MILLISECONDS.sleep(LATE_REPLY_MILLIS);
-        mayGoOn.countDown();
+        mayContinue.countDown();
         assertThat(awaitWithinHalfTimeout(answer))
                 .contains("data: a")
                 .contains("data: b")
@@ -212,7 +213,7 @@
         }
     }
 
-    /** One event in the first life, then silence; the rest in the second. */
+    /** Sends one event in the first incarnation and then nothing; sends the rest in the second. */
     private void interruptedStream(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
         connection.beginStream(request);
         if (arrived.getCount() > 0) {
@@ -249,7 +250,7 @@
         assertThat(decode.runs()).hasSize(1);
     }
 
-    /** Returns the one run of a stream that is answered though something starts again while its prompt is read. */
+    /** Returns the only run of a stream that is answered although an endpoint restarts during its prefill. */
     private RawRequest runDespiteRestart(Runnable restart) {
         prefill.script((request, connection) -> {
             if (prefills.get() == 0) {
--- a/gateway/src/test/java/org/quetzalseam/gateway/RetryBudgetTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/RetryBudgetTest.java
@@ -10,11 +10,12 @@
 import org.quetzalseam.standins.raw.RawRequest;
 
 /**
- * What counts against the retry budget that all entries share.
+ * Tests what counts against the retry budget that all entries share.
  *
- * <p>Seen: engines had crashed and stayed listed; each request was turned away by one after the other, and 104 arrivals beyond the
- * first of a request came in a window that allowed 83. The cause: a further turn of a generation took one retry, but arrives
- * twice, as its prompt is read once more before it goes to a decode engine. Proof: the arrivals of one request, two for each turn.
+ * <p>Guards against a budget that is exceeded because a further attempt of a generation is counted as one retry,
+ * although it arrives at two engines: its prompt is prefilled again before it goes to a decode engine. With crashed
+ * engines that were still listed and rejected each request one after the other, 104 repeated arrivals came in a window
+ * that allowed 83.
  */
 @Timeout(60)
 class RetryBudgetTest {
@@ -47,19 +48,20 @@
     void eachRepeatedArrivalAtAnEngineSpendsARetryIncludingThePrefill() {
         startWithFullSlack();
         sendRejectedRequests();
-        int further = prefill.runs().size() + decode.runs().size() - 2 * REQUEST_COUNT;
-        assertThat(further).isPositive().isLessThanOrEqualTo(4);
+        int repeated = prefill.runs().size() + decode.runs().size() - 2 * REQUEST_COUNT;
+        assertThat(repeated).isPositive().isLessThanOrEqualTo(4);
     }
 
-    // Guards against a reload of the settings that forgets the retries of the window, so that as many are made again.
+    // Guards against a reload of the settings that discards the count of retries in the window, so that as many are
+    // made again.
     @Test
     void reloadingTheSettingsDoesNotRestoreSpentRetries() {
         startWithFullSlack();
         sendRejectedRequests();
         entry.reloadSettings();
         sendRejectedRequests();
-        int further = prefill.runs().size() + decode.runs().size() - 2 * 2 * REQUEST_COUNT;
-        assertThat(further).isPositive().isLessThanOrEqualTo(4);
+        int repeated = prefill.runs().size() + decode.runs().size() - 2 * 2 * REQUEST_COUNT;
+        assertThat(repeated).isPositive().isLessThanOrEqualTo(4);
     }
 
     private void startWithFullSlack() {
--- a/gateway/src/test/java/org/quetzalseam/gateway/ScriptedEndpoint.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/ScriptedEndpoint.java
@@ -11,9 +11,9 @@
 import org.quetzalseam.standins.raw.RawRequest;
 import org.quetzalseam.standins.raw.RawServer;
 
-/** An endpoint whose replies are written byte by byte by a test. */
+/** An endpoint whose replies a test writes byte by byte. */
 final class ScriptedEndpoint implements AutoCloseable {
-    /** Writes the reply to one request. An exception resets the connection. */
+    /** Writes the reply to one request; an exception resets the connection. */
     @FunctionalInterface
     interface Script {
         void reply(RawRequest request, Connection connection) throws IOException;
@@ -50,7 +50,7 @@
         return requests;
     }
 
-    /** Returns the requests that are no control calls. */
+    /** Returns the requests that are not control calls. */
     List<RawRequest> runs() {
         return requests.stream()
                 .filter(request -> !request.path().startsWith("/control/"))
@@ -61,7 +61,7 @@
         return member(service, stage, FIRST_START_MILLIS);
     }
 
-    /** Returns its registration after a start at the given time. */
+    /** Returns the registration of an incarnation that started at the given time. */
     Member member(String service, Stage stage, long startMillis) {
         return new Member(id, startMillis, service, "127.0.0.1", server.port(), "a", 4, false, stage);
     }
@@ -71,9 +71,9 @@
         server.close();
     }
 
-    /** A connection that a script writes to, in the form of {@link TestProtocol}. */
+    /** A connection that a script writes to, in the format of {@link TestProtocol}. */
     static final class Connection {
-        /** How long a test waits for the entry to close a connection, in milliseconds. */
+        /** Time that a test waits for the entry to close a connection, in milliseconds. */
         private static final int CLOSE_TIMEOUT_MILLIS = 5_000;
 
         private final RawConnection raw;
@@ -82,17 +82,17 @@
             this.raw = raw;
         }
 
-        /** Writes text as it stands. */
+        /** Writes text unchanged. */
         void write(String text) throws IOException {
             raw.write(text);
         }
 
-        /** Writes a whole answer of a run, signed and with the request's id. */
+        /** Writes the complete, signed answer to a request, with the request's id. */
         void answer(RawRequest request, String body) throws IOException {
             raw.reply(200, body, "x-id: " + request.header("x-id"), "x-signature: s");
         }
 
-        /** Writes the head of a stream of events. */
+        /** Writes the response head of an event stream. */
         void beginStream(RawRequest request) throws IOException {
             write("HTTP/1.1 200 OK\r\nx-id: " + request.header("x-id")
                     + "\r\nx-signature: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -106,12 +106,12 @@
             raw.endChunks();
         }
 
-        /** Tells that the request hasn't run. */
+        /** Rejects the request and states that it has not run. */
         void reject(RawRequest request) throws IOException {
             raw.reply(503, "", "x-id: " + request.header("x-id"), "x-not-run: 1");
         }
 
-        /** Ends the connection in order. */
+        /** Closes the connection in order, without a reset. */
         void finish() throws IOException {
             raw.finish();
         }
@@ -120,7 +120,7 @@
             raw.reset();
         }
 
-        /** Returns when the other side has closed the connection. */
+        /** Waits until the peer closes the connection. */
         boolean awaitClosed() throws IOException {
             return raw.awaitClosed(CLOSE_TIMEOUT_MILLIS);
         }
--- a/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
@@ -21,15 +21,15 @@
 import org.quetzalseam.gateway.entry.EntryCount;
 import org.quetzalseam.gateway.route.EntrySettings;
 
-/** An entry on the loopback address, and callers of it. */
+/** Runs an entry on the loopback address and connects callers to it. */
 final class TestEntry implements AutoCloseable {
-    /** Longest pause in time on the route "paced", in milliseconds: a slow engine's reading fits into it. */
+    /** Longest permitted pause on the route "paced", in milliseconds; a slow engine's prefill fits into it. */
     private static final long MAX_PAUSE_MILLIS = 5_000;
 
     private static final int TIMEOUT_MILLIS = 10_000;
     /** Window over which retries are counted, in milliseconds. */
     private static final long RETRY_WINDOW_MILLIS = 10_000;
-    /** Retries in a window that are enough for any test, also for an entry that has just started. */
+    /** Retries in a window that suffice for any test, even for an entry that has just started. */
     private static final double AMPLE_SLACK = 1e8;
 
     private final double retryRatio;
@@ -41,7 +41,7 @@
         this(1.0, AMPLE_SLACK);
     }
 
-    /** Creates an entry with a retry budget: retries for each request, and in a window besides, of all entries together. */
+    /** Creates an entry with a retry budget, which all entries share: retries per request, plus a fixed number per window. */
     TestEntry(double retryRatio, double retrySlack) {
         this.retryRatio = retryRatio;
         this.retrySlack = retrySlack;
@@ -54,12 +54,12 @@
         return new EntrySettings("entry-1", "a", retryRatio, retrySlack, RETRY_WINDOW_MILLIS, 1, 2, 0.25, firstStart);
     }
 
-    /** Has the settings read again, with a change that the retry budget has no part in. */
+    /** Reloads the settings with a change that does not concern the retry budget. */
     void reloadSettings() {
         runOnEventLoop(() -> process.router().update(settings(false)));
     }
 
-    /** Waits until the entry has its whole part of the retry budget's slack. */
+    /** Waits until the entry has its full share of the retry budget's slack. */
     void awaitFullSlack() {
         try {
             TimeUnit.MILLISECONDS.sleep(RETRY_WINDOW_MILLIS);
@@ -80,17 +80,20 @@
         return process;
     }
 
-    /** Puts three routes in force: {@code /once/}, {@code /many/} and the streams {@code /stream/} and {@code /resumable/}. */
+    /**
+     * Puts the routes in force: {@code /once/} (not idempotent), {@code /many/} (idempotent), and the streams {@code /stream/},
+     * {@code /resumable/} and {@code /paced/}.
+     */
     void updateRoutes(long timeoutMillis) {
         updateRoutes(timeoutMillis, 100);
     }
 
-    /** The same, before endpoints that take so many connections from all entries together. */
+    /** Puts the routes in force, with a limit on the connections that an endpoint accepts from all entries together. */
     void updateRoutes(long timeoutMillis, int maxConnections) {
         updateRoutes(1, timeoutMillis, maxConnections);
     }
 
-    /** Puts the routes in force as another version. */
+    /** Puts the routes in force as the given version. */
     void updateRoutesToVersion(long version, long timeoutMillis) {
         updateRoutes(version, timeoutMillis, 100);
     }
@@ -130,8 +133,8 @@
         });
     }
 
-    void updateEntryCount(int counted) {
-        runOnEventLoop(() -> process.router().entries(new EntryCount(counted, 0)));
+    void updateEntryCount(int count) {
+        runOnEventLoop(() -> process.router().entries(new EntryCount(count, 0)));
     }
 
     private void runOnEventLoop(Runnable call) {
@@ -151,7 +154,7 @@
         return new Caller(address());
     }
 
-    /** Sends one request on a connection of its own and returns all that comes back until the connection ends. */
+    /** Sends one request on a new connection and returns everything received until the connection ends. */
     String ask(String path, String id, String... headers) {
         try (Caller caller = caller()) {
             String[] closing = new String[headers.length + 1];
@@ -167,7 +170,7 @@
         process.stop();
     }
 
-    /** A caller's connection, read as bytes. */
+    /** A caller's connection, which is read as bytes. */
     static final class Caller implements AutoCloseable {
         private final Socket socket;
 
@@ -196,23 +199,23 @@
             }
         }
 
-        /** Reads until the text has come, and returns all up to its end. */
+        /** Reads until the given text or the end of the connection, and returns what was read; marks an I/O error with [reset]. */
         String readUntil(String end) {
-            ByteArrayOutputStream got = new ByteArrayOutputStream();
+            ByteArrayOutputStream received = new ByteArrayOutputStream();
             try {
                 InputStream in = socket.getInputStream();
                 int next = in.read();
                 while (next >= 0) {
-                    got.write(next);
-                    if (got.toString(StandardCharsets.UTF_8).endsWith(end)) {
+                    received.write(next);
+                    if (received.toString(StandardCharsets.UTF_8).endsWith(end)) {
                         break;
                     }
                     next = in.read();
                 }
             } catch (IOException e) {
-                got.writeBytes(" [reset]".getBytes(StandardCharsets.UTF_8));
+                received.writeBytes(" [reset]".getBytes(StandardCharsets.UTF_8));
             }
-            return got.toString(StandardCharsets.UTF_8);
+            return received.toString(StandardCharsets.UTF_8);
         }
 
         String readAll() {
--- a/gateway/src/test/java/org/quetzalseam/gateway/TestProtocol.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/TestProtocol.java
@@ -17,7 +17,7 @@
 import org.quetzalseam.gateway.protocol.ReplyFacts;
 import org.quetzalseam.gateway.protocol.RequestFacts;
 
-/** A plain protocol for tests, with names of its own. */
+/** A minimal protocol for tests, with its own header names and paths. */
 public final class TestProtocol implements Protocol {
     @Override
     public String idHeader() {
@@ -28,8 +28,8 @@
     public RequestFacts facts(HttpHeaders headers) {
         String tokens = headers.get("x-tokens");
         TokenDemand demand = tokens == null ? null : new TokenDemand(Integer.parseInt(tokens), 500, 200);
-        long patience = Long.parseLong(headers.get("x-patience", "5000"));
-        return new RequestFacts(headers.get("x-id", ""), patience, demand, headers.get("x-resume"));
+        long waitMillis = Long.parseLong(headers.get("x-patience", "5000"));
+        return new RequestFacts(headers.get("x-id", ""), waitMillis, demand, headers.get("x-resume"));
     }
 
     @Override
@@ -97,11 +97,11 @@
 
     @Override
     public Optional<EngineLoad> load(String body) {
-        String[] bornAndOrders = body.split(" ", 2);
-        return bornAndOrders.length < 2
+        String[] startAndOrders = body.split(" ", 2);
+        return startAndOrders.length < 2
                 ? Optional.empty()
                 : Optional.of(new EngineLoad(
-                        Long.parseLong(bornAndOrders[0]), 0, 0, 0, 1_000, Long.parseLong(bornAndOrders[1]), false));
+                        Long.parseLong(startAndOrders[0]), 0, 0, 0, 1_000, Long.parseLong(startAndOrders[1]), false));
     }
 
     @Override
