--- a/gateway/src/test/java/org/quetzalseam/gateway/EntryShutdownTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/EntryShutdownTest.java
@@ -158,7 +158,7 @@
         }
     }
 
-    /** A caller that is still sending a long prompt gets an answer or a refusal while there is time, not a lost connection. */
+    /** A caller that is still sending a long prompt gets an answer or a refusal in time, not a lost connection. */
     @Test
     void aRequestThatIsStillBeingSentKeepsTheEntryFromEndingEarly() throws Exception {
         try (TestEntry.Caller caller = entry.caller()) {
@@ -256,7 +256,7 @@
                 .doesNotContain("second");
     }
 
-    /** The rest of it is shorter than a complete stream, and it can no longer be refused because its caller has a part of it. */
+    /** Its rest is shorter than a complete stream, and it can no longer be refused because its caller has a part of it. */
     @Test
     void aStartedStreamResumesAtAnotherEngineAlthoughACompleteOneWouldNotEndInTime() throws Exception {
         recordStreamDurations("/resumable/x");
--- a/gateway/src/test/java/org/quetzalseam/gateway/RestartedEndpointTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/RestartedEndpointTest.java
@@ -16,7 +16,7 @@
 
 /** Tests an endpoint that restarts under the same id and has no state of its previous incarnation. */
 class RestartedEndpointTest {
-    private static final String SIZE = "x-tokens: 1000";
+    private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
     /** Timeout of the routes, in milliseconds; an answer within half of it did not wait for it. */
     private static final long TIMEOUT_MILLIS = 5_000;
 
@@ -183,7 +183,7 @@
     @Test
     void aStreamStartedByTheNewIncarnationBeforeItIsListedIsNotCut() throws Exception {
         stream = (request, connection) -> connection.reset();
-        assertThat(entry.ask("/stream/x", "first", SIZE)).doesNotContain("data: a");
+        assertThat(entry.ask("/stream/x", "first", PROMPT_TOKENS_HEADER)).doesNotContain("data: a");
         CountDownLatch mayContinue = new CountDownLatch(1);
         stream = (request, connection) -> {
             connection.beginStream(request);
@@ -193,7 +193,8 @@
             connection.chunk("id: 2\ndata: b\n\n");
             connection.endStream();
         };
-        CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", "second", SIZE));
+        CompletableFuture<String> answer =
+                CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", "second", PROMPT_TOKENS_HEADER));
         arrived.await();
         restartDecode();
         TimeUnit.MILLISECONDS.sleep(LATE_REPLY_MILLIS);
@@ -229,7 +230,8 @@
     @Test
     void aResumableStreamContinuesInTheNewIncarnation() throws Exception {
         stream = this::interruptedStream;
-        CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/resumable/x", "r1", SIZE));
+        CompletableFuture<String> answer =
+                CompletableFuture.supplyAsync(() -> entry.ask("/resumable/x", "r1", PROMPT_TOKENS_HEADER));
         arrived.await();
         restartDecode();
         assertThat(awaitWithinHalfTimeout(answer))
@@ -243,7 +245,8 @@
     @Test
     void aStreamThatMayNotBeResumedEndsAtOnce() throws Exception {
         stream = this::interruptedStream;
-        CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", "r1", SIZE));
+        CompletableFuture<String> answer =
+                CompletableFuture.supplyAsync(() -> entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER));
         arrived.await();
         restartDecode();
         assertThat(awaitWithinHalfTimeout(answer)).contains("data: a").doesNotContain("0\r\n\r\n");
@@ -258,7 +261,7 @@
             }
             answerPrefill(request, connection);
         });
-        assertThat(entry.ask("/stream/x", "r1", SIZE))
+        assertThat(entry.ask("/stream/x", "r1", PROMPT_TOKENS_HEADER))
                 .startsWith("HTTP/1.1 200")
                 .contains("data: a");
         assertThat(decode.runs()).hasSize(1);
--- a/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
@@ -41,7 +41,12 @@
         this(1.0, AMPLE_SLACK);
     }
 
-    /** Creates an entry with a retry budget, which all entries share: retries per request, plus a fixed number per window. */
+    /**
+     * Creates an entry with a retry budget.
+     *
+     * @param retryRatio retries per request
+     * @param retrySlack retries per window in addition, shared by all entries
+     */
     TestEntry(double retryRatio, double retrySlack) {
         this.retryRatio = retryRatio;
         this.retrySlack = retrySlack;
@@ -81,8 +86,8 @@
     }
 
     /**
-     * Puts the routes in force: {@code /once/} (not idempotent), {@code /many/} (idempotent), and the streams {@code /stream/},
-     * {@code /resumable/} and {@code /paced/}.
+     * Puts the routes in force: {@code /once/} (not idempotent), {@code /many/} (idempotent), and the streams
+     * {@code /stream/}, {@code /resumable/} and {@code /paced/} (with a limit on pauses).
      */
     void updateRoutes(long timeoutMillis) {
         updateRoutes(timeoutMillis, 100);
@@ -199,7 +204,10 @@
             }
         }
 
-        /** Reads until the given text or the end of the connection, and returns what was read; marks an I/O error with [reset]. */
+        /**
+         * Reads until the given text or the end of the connection, and returns what was read, followed by {@code [reset]} after an
+         * I/O error.
+         */
         String readUntil(String end) {
             ByteArrayOutputStream received = new ByteArrayOutputStream();
             try {
