--- a/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/TestEntry.java
@@ -205,8 +205,8 @@
         }
 
         /**
-         * Reads until the given text or the end of the connection, and returns what was read, followed by {@code [reset]} after an
-         * I/O error.
+         * Reads until the given text or the end of the connection, and returns what was read, followed by
+         * {@code [reset]} after an I/O error.
          */
         String readUntil(String end) {
             ByteArrayOutputStream received = new ByteArrayOutputStream();
