--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
@@ -135,9 +135,9 @@
 
     /** Dials at once, without waiting for the next scheduled dial, and returns whether the endpoint's process is up. */
     Reachability checkReachability(Duration limit) {
-        long before = dialer.refusals();
+        long before = dialer.refusedAttempts();
         // Two refusals are needed, because the first may belong to an attempt that began before this call.
-        BooleanSupplier undecided = () -> dialer.refusals() - before < 2;
+        BooleanSupplier undecided = () -> dialer.refusedAttempts() - before < 2;
         boolean connected = awaitConnected(limit, () -> {
             dialer.dialNow();
             return !stopped && undecided.getAsBoolean();
@@ -153,7 +153,7 @@
 
     boolean connected() {
         Connection connection = current;
-        return connection != null && connection.open();
+        return connection != null && connection.isOpen();
     }
 
     /** Returns whether no connection has been made yet, such as to an endpoint that has just been listed. */
