--- a/wire/src/main/java/org/quetzalseam/wire/message/Answer.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Answer.java
@@ -4,13 +4,13 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * The whole answer of a service call.
+ * The complete answer to a service call.
  *
  * @param attempt the attempt
- * @param status HTTP status
- * @param headers headers to pass on
- * @param body body
- * @param load the endpoint's load
+ * @param status HTTP status code
+ * @param headers headers to forward to the caller
+ * @param body response body
+ * @param load the endpoint's load when it sent the answer
  */
 public record Answer(AttemptId attempt, int status, Map<String, String> headers, byte[] body, Load load)
         implements AttemptReply {}
--- a/wire/src/main/java/org/quetzalseam/wire/message/Booked.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Booked.java
@@ -3,7 +3,7 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * A place in the decode engine's memory is held for the attempt from now on.
+ * Reports that a slot in the decode engine's memory is booked for the attempt from now on.
  *
  * @param attempt the attempt
  * @param load the endpoint's load
--- a/wire/src/main/java/org/quetzalseam/wire/message/Call.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Call.java
@@ -7,13 +7,13 @@
  * Asks a service endpoint to run one call.
  *
  * @param attempt the attempt
- * @param work what is to be queued
+ * @param work the work to queue
  * @param method HTTP method
- * @param path path and query below the service
- * @param headers headers to pass on
+ * @param path path and query, relative to the service
+ * @param headers headers to forward to the service
  * @param body request body
- * @param timeoutMillis longest time the call may run, in milliseconds
- * @param idempotent whether running it more than once does no harm
+ * @param timeoutMillis longest time that the call may run, in milliseconds
+ * @param idempotent whether the call may safely run more than once
  * @param key how the call uses an idempotency key
  */
 public record Call(
--- a/wire/src/main/java/org/quetzalseam/wire/message/Cancel.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Cancel.java
@@ -3,7 +3,7 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * The caller is gone or has its answer: the attempt is to be dropped wherever it stands.
+ * Asks an endpoint to drop an attempt in whatever state it is, because the caller has disconnected or has its answer.
  *
  * @param attempt the attempt
  */
--- a/wire/src/main/java/org/quetzalseam/wire/message/Challenge.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Challenge.java
@@ -1,10 +1,11 @@
 package org.quetzalseam.wire.message;
 
 /**
- * Answer to a hello: who answers, its proof that it holds the site's key, and a challenge in turn.
+ * Answers a {@link Hello}: identifies the accepting process, proves that it holds the site's key, and carries the challenge that
+ * the opener must answer.
  *
  * @param protocol version of the protocol
- * @param role what the process does
+ * @param role role of the process
  * @param name the process's name
  * @param zone its availability zone
  * @param incarnation random number chosen when the process started
--- a/wire/src/main/java/org/quetzalseam/wire/message/Decode.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Decode.java
@@ -3,7 +3,7 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * Starts decoding on a booked place.
+ * Starts decoding in a booked slot.
  *
  * @param attempt the booked attempt
  * @param transfer the prefill engine's description of the KV cache, as JSON
--- a/wire/src/main/java/org/quetzalseam/wire/message/Failed.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Failed.java
@@ -3,7 +3,7 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * The attempt started and can't be completed.
+ * Reports that the attempt started and cannot be completed.
  *
  * @param attempt the attempt
  * @param code what failed
--- a/wire/src/main/java/org/quetzalseam/wire/message/FenceKey.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/FenceKey.java
@@ -3,10 +3,11 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * Asks an endpoint to deny a key from now on unless it has seen it.
+ * Asks an endpoint to fence a key: to refuse it from now on unless the endpoint has already seen it.
  *
- * @param attempt the attempt that wants to use the key elsewhere
+ * @param attempt the attempt that is to use the key at another endpoint
  * @param key digest of owner, service and key
- * @param mintedAtMillis when the caller made the key, in milliseconds of the epoch, or 0 when the key doesn't tell
+ * @param mintedAtMillis when the caller created the key, in milliseconds since the Unix epoch, or 0 when the key
+ *     does not contain its creation time
  */
 public record FenceKey(AttemptId attempt, String key, long mintedAtMillis) implements AttemptMessage {}
--- a/wire/src/main/java/org/quetzalseam/wire/message/Heartbeat.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Heartbeat.java
@@ -4,7 +4,7 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * Sent by an entry at a steady pace: it renews the leases of the attempts it holds at this endpoint.
+ * Renews the leases of the attempts that an entry holds at an endpoint. The entry sends it at a fixed interval.
  *
  * @param attempts all attempts that the entry holds at this endpoint
  * @param catalogue version of the catalogue in force at the entry
--- a/wire/src/main/java/org/quetzalseam/wire/message/KeyUse.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/KeyUse.java
@@ -4,21 +4,22 @@
  * How a call uses an idempotency key. Immutable.
  *
  * @param key digest of owner, service and key; empty when the call has none
- * @param fingerprint digest of the request, to tell two requests with one key apart
- * @param mintedAtMillis when the caller made the key, in milliseconds of the epoch, or 0 when the key doesn't tell
- * @param unchangedMillis how long the entry has seen the same members in the endpoint's pool
+ * @param fingerprint digest of the request, by which different requests with the same key are told apart
+ * @param mintedAtMillis when the caller created the key, in milliseconds since the Unix epoch, or 0 when the key
+ *     does not contain its creation time
+ * @param unchangedMillis how long the members of the endpoint's pool have been the same at the entry, in milliseconds
  * @param members version of the list of VMs by which the entry chose the endpoint
- * @param fencedFor incarnation of the endpoint for which every other process that may have seen the key has denied it, or
- *     0; the inquiry is worth nothing to a later incarnation
+ * @param fencedFor incarnation of the endpoint on whose behalf every other process that may have seen the key has fenced it, or
+ *     0; the result of that inquiry is not valid for a later incarnation
  */
 public record KeyUse(
         String key, String fingerprint, long mintedAtMillis, long unchangedMillis, long members, long fencedFor) {
-    /** Returns the value for calls without a key. */
+    /** Returns the value for a call without a key. */
     public static KeyUse none() {
         return new KeyUse("", "", 0, 0, 0, 0);
     }
 
-    /** Returns whether there is a key. */
+    /** Returns whether the call has a key. */
     public boolean present() {
         return !key.isEmpty();
     }
--- a/wire/src/main/java/org/quetzalseam/wire/message/LeavingHeard.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/LeavingHeard.java
@@ -1,4 +1,4 @@
 package org.quetzalseam.wire.message;
 
-/** The entry has heard that the endpoint is stopping: no new work of its own comes after this. */
+/** Confirms a {@link Leaving}: the entry sends the endpoint no new work after this message. */
 public record LeavingHeard() implements Message {}
--- a/wire/src/main/java/org/quetzalseam/wire/message/MessageType.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/MessageType.java
@@ -1,6 +1,6 @@
 package org.quetzalseam.wire.message;
 
-/** The kinds of messages and their numbers on the wire. A number is never used again for another kind. */
+/** The types of messages and their numbers on the wire. The number of a type is never reused for another type. */
 public enum MessageType {
     HELLO(1, Hello.class),
     CHALLENGE(2, Challenge.class),
@@ -44,7 +44,7 @@
         return number;
     }
 
-    /** Returns the record type. */
+    /** Returns the record class of the message. */
     public Class<? extends Message> type() {
         return type;
     }
--- a/wire/src/main/java/org/quetzalseam/wire/message/Outputs.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Outputs.java
@@ -4,10 +4,10 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * Outputs of an attempt, in order.
+ * Carries consecutive outputs of an attempt, in order.
  *
  * @param attempt the attempt
- * @param first index of the first of them
+ * @param first index of the first output in this message
  * @param texts the outputs
  * @param load the endpoint's load
  */
--- a/wire/src/main/java/org/quetzalseam/wire/message/Prefilled.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Prefilled.java
@@ -3,7 +3,7 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * A prompt has been prefilled; its KV cache can be fetched for a short time.
+ * Reports that a prompt has been prefilled. Its KV cache can be fetched for a short time only.
  *
  * @param attempt the attempt
  * @param transfer the engine's description of the KV cache, as JSON
--- a/wire/src/main/java/org/quetzalseam/wire/message/Role.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Role.java
@@ -1,9 +1,9 @@
 package org.quetzalseam.wire.message;
 
-/** What a process does. */
+/** The role of a process. */
 public enum Role {
-    /** Holds callers' connections. */
+    /** Accepts callers' connections and forwards their requests. */
     ENTRY,
-    /** Stands before one engine or service. */
+    /** Serves one engine or service. */
     ENDPOINT
 }
--- a/wire/src/main/java/org/quetzalseam/wire/message/Seal.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Seal.java
@@ -3,7 +3,7 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * Asks that an attempt which has not started never starts, and what is known of it.
+ * Seals an attempt: if it has not started, it never will. Also asks for its state, which a {@link SealAnswer} reports.
  *
  * @param attempt the attempt
  */
--- a/wire/src/main/java/org/quetzalseam/wire/message/SiteState.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/SiteState.java
@@ -5,8 +5,8 @@
 import org.quetzalseam.core.catalogue.Manifest;
 
 /**
- * The accepted catalogue and the list of VMs, as processes pass them on to each other. Both carry versions, and a
- * receiver keeps whichever part is newer than what it has.
+ * The accepted catalogue and the list of VMs, as processes exchange them. Each has its own version, and a
+ * receiver adopts each one that is newer than its own.
  *
  * @param manifest the accepted manifest
  * @param files texts of the catalogue's files by name
@@ -14,18 +14,18 @@
  * @param vms the list of VMs
  */
 public record SiteState(Manifest manifest, Map<String, String> files, long members, List<Vm> vms) implements Message {
-    /** Copies the collections. */
+    /** Makes the collections immutable. */
     public SiteState {
         files = Map.copyOf(files);
         vms = List.copyOf(vms);
     }
 
-    /** Returns the state of a process that has been given nothing yet. */
+    /** Returns the state of a process that has not received any yet. */
     public static SiteState none() {
         return new SiteState(Manifest.none(), Map.of(), 0, List.of());
     }
 
-    /** Returns a state with the newer catalogue and the newer list of VMs of two. */
+    /** Returns a state with the newer catalogue and the newer list of VMs of two states; on equal versions those of {@code a}. */
     public static SiteState newer(SiteState a, SiteState b) {
         SiteState catalogue = a.manifest.version() >= b.manifest.version() ? a : b;
         SiteState list = a.members >= b.members ? a : b;
--- a/wire/src/main/java/org/quetzalseam/wire/message/Vm.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Vm.java
@@ -8,9 +8,10 @@
  * @param zone its availability zone
  * @param pool pool of the engine or service it runs; empty for entries
  * @param host IP address
- * @param port port of our process: for endpoints the one for entries, for entries their operators' port
+ * @param port port of the process: for an endpoint the port that entries connect to, for an entry the port of its
+ *     operators' interface
  * @param operatorPort port of the operators' interface
- * @param leaving whether the platform is about to take it away
+ * @param leaving whether the platform is about to remove the VM
  */
 public record Vm(
         String name, Role role, String zone, String pool, String host, int port, int operatorPort, boolean leaving) {}
