--- a/wire/src/main/java/org/quetzalseam/wire/message/KeyUse.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/KeyUse.java
@@ -20,7 +20,7 @@
     }
 
     /** Returns whether the call has a key. */
-    public boolean present() {
+    public boolean isPresent() {
         return !key.isEmpty();
     }
 }
