--- a/wire/src/main/java/org/quetzalseam/wire/FrameCodec.java
+++ b/wire/src/main/java/org/quetzalseam/wire/FrameCodec.java
@@ -9,9 +9,10 @@
 import org.quetzalseam.wire.WireException.Code;
 
 /**
- * Frames: a length of four bytes, big-endian, then that many bytes. Stateless.
+ * Reads and writes frames. A frame is a length of four bytes, big-endian, followed by that many bytes. Stateless.
  *
- * <p>The length is checked before anything is allocated, so a peer can't make this process reserve memory at will.
+ * <p>The length is checked before anything is allocated, so a peer cannot make this process reserve an arbitrary amount
+ * of memory.
  */
 public final class FrameCodec {
     /** Longest frame accepted, in bytes. */
@@ -20,11 +21,11 @@
     private FrameCodec() {}
 
     /**
-     * Reads the next frame, or returns null at an orderly end of the stream.
+     * Reads the next frame, or returns null if the stream ends before it.
      *
      * @param in the stream
      * @param maxLength longest frame accepted, in bytes
-     * @throws WireException with {@code BAD_FRAME} when the length is out of bounds or the frame is cut off
+     * @throws WireException with {@code BAD_FRAME} if the length is out of bounds or the stream ends inside the frame
      */
     public static byte @Nullable [] read(DataInputStream in, int maxLength) throws IOException {
         int first = in.read();
@@ -44,7 +45,7 @@
         }
     }
 
-    /** Writes one frame and leaves flushing to the caller. */
+    /** Writes one frame without flushing the stream. */
     public static void write(OutputStream out, byte[] content) throws IOException {
         if (content.length == 0 || content.length > MAX_FRAME_BYTES) {
             throw new WireException(
--- a/wire/src/main/java/org/quetzalseam/wire/MessageCodec.java
+++ b/wire/src/main/java/org/quetzalseam/wire/MessageCodec.java
@@ -12,7 +12,7 @@
 import org.quetzalseam.wire.message.MessageType;
 
 /**
- * Turns messages into the content of frames and back: the number of the message's type, then its components.
+ * Encodes messages as the content of frames and decodes them: the number of the message's type, then its components.
  * Thread-safe.
  *
  * <p>Example: {@code MessageCodec.decode(MessageCodec.encode(message)).equals(message)}.
@@ -31,7 +31,7 @@
 
     private MessageCodec() {}
 
-    /** Returns the bytes of a message. */
+    /** Returns the content of the frame that carries a message. */
     public static byte[] encode(Message message) {
         MessageType type = BY_CLASS.get(message.getClass());
         if (type == null) {
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Returns the message in a frame.
+     * Returns the message that the content of a frame carries.
      *
-     * @throws WireException with {@code BAD_MESSAGE} when the bytes aren't a known message
+     * @throws WireException with {@code BAD_MESSAGE} if the bytes are not a known message
      */
     public static Message decode(byte[] content) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(content)) {
--- a/wire/src/main/java/org/quetzalseam/wire/RecordCodec.java
+++ b/wire/src/main/java/org/quetzalseam/wire/RecordCodec.java
@@ -21,9 +21,9 @@
 /**
  * Packs records as MessagePack arrays of their components, in order, and unpacks them again. Thread-safe.
  *
- * <p>Components may be {@code int}, {@code long}, {@code boolean}, {@code String}, {@code byte[]}, enumerations, records,
- * and lists or string-keyed maps of these. Components that a sender of an older release doesn't know come out as zero or
- * empty; those that a newer sender has added at the end are skipped.
+ * <p>Components may be {@code int}, {@code long}, {@code boolean}, {@code String}, {@code byte[]}, enums, records, and
+ * lists or string-keyed maps of these. Components that an older sender does not know are unpacked as zero, false, empty or
+ * the first enum constant; components that a newer sender has added at the end are skipped.
  */
 final class RecordCodec {
     private record RecordLayout(
--- a/wire/src/main/java/org/quetzalseam/wire/WireException.java
+++ b/wire/src/main/java/org/quetzalseam/wire/WireException.java
@@ -2,13 +2,13 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A fault of the protocol between our processes. The connection that it concerns is closed. */
+/** Thrown on an error in the protocol between processes. The connection concerned is closed. */
 public final class WireException extends RuntimeException {
-    /** What went wrong. */
+    /** The kinds of errors. */
     public enum Code {
-        /** A frame is longer than allowed, empty or cut off. */
+        /** A frame is longer than allowed, empty or truncated. */
         BAD_FRAME,
-        /** A frame's content isn't a known message in the form expected. */
+        /** The content of a frame is not a known message or not the expected one. */
         BAD_MESSAGE,
         /** The peer speaks another version of the protocol. */
         WRONG_VERSION,
@@ -31,7 +31,7 @@
         this.code = code;
     }
 
-    /** Returns what went wrong. */
+    /** Returns the kind of error. */
     public Code code() {
         return code;
     }
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Acceptor.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Acceptor.java
@@ -22,7 +22,7 @@
 import org.quetzalseam.wire.runtime.Service;
 import org.quetzalseam.wire.runtime.Threads;
 
-/** Accepts connections from other processes and hands them over after their handshake. Thread-safe. */
+/** Accepts connections from other processes and reports each one once its handshake has succeeded. Thread-safe. */
 public final class Acceptor implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(3);
@@ -35,7 +35,7 @@
     private final Transport transport;
     private final Connection.Listener listener;
     private final Consumer<Connection> onOpened;
-    /** Sockets that have been accepted and are not yet a connection. */
+    /** Accepted sockets whose handshake has not finished. */
     private final Set<Socket> handshaking = ConcurrentHashMap.newKeySet();
 
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
@@ -45,13 +45,13 @@
     /**
      * Creates an acceptor.
      *
-     * @param host address to listen on; other than loopback only with a secret site key
-     * @param port port to listen on, 0 for any
-     * @param self who this process is
+     * @param host address to listen on; an address other than loopback needs a secret site key
+     * @param port port to listen on, or 0 for any free port
+     * @param self identity of this process
      * @param key the site's key
-     * @param transport makes the sockets
+     * @param transport creates the sockets
      * @param listener receives the messages of all connections
-     * @param opened is told of each connection before its first message
+     * @param onOpened called with each new connection before its first message is read
      */
     public Acceptor(
             String host,
@@ -60,14 +60,14 @@
             SiteKey key,
             Transport transport,
             Connection.Listener listener,
-            Consumer<Connection> opened) {
+            Consumer<Connection> onOpened) {
         this.host = host;
         this.port = port;
         this.self = self;
         this.key = key;
         this.transport = transport;
         this.listener = listener;
-        this.onOpened = opened;
+        this.onOpened = onOpened;
         this.handshakes =
                 Executors.newFixedThreadPool(MAX_CONCURRENT_HANDSHAKES, Threads.named(self.name() + "-handshake"));
     }
@@ -77,23 +77,24 @@
         try {
             if (!key.isSecret() && !InetAddress.getByName(host).isLoopbackAddress()) {
                 throw new WireException(
-                        Code.NOT_AUTHENTIC, "listening on " + host + " needs a site key; without one only loopback");
+                        Code.NOT_AUTHENTIC,
+                        "listening on " + host + " needs a site key; without one only loopback addresses are allowed");
             }
-            ServerSocket bound = transport.listen(host, port);
-            server = bound;
-            Threads.daemon(self.name() + "-accept", () -> acceptLoop(bound)).start();
+            ServerSocket listening = transport.listen(host, port);
+            server = listening;
+            Threads.daemon(self.name() + "-accept", () -> acceptLoop(listening)).start();
         } catch (IOException e) {
-            throw new WireException(Code.DISCONNECTED, "can't listen on " + host + ":" + port, e);
+            throw new WireException(Code.DISCONNECTED, "cannot listen on " + host + ":" + port, e);
         }
     }
 
-    /** Returns the port that is listened on. */
+    /** Returns the port that the acceptor listens on. */
     public int port() {
-        ServerSocket bound = server;
-        if (bound == null) {
+        ServerSocket listening = server;
+        if (listening == null) {
             throw new IllegalStateException("the acceptor has not been started");
         }
-        return bound.getLocalPort();
+        return listening.getLocalPort();
     }
 
     /** Returns the open connections. */
@@ -101,10 +102,10 @@
         return Set.copyOf(connections);
     }
 
-    private void acceptLoop(ServerSocket bound) {
-        while (!bound.isClosed()) {
+    private void acceptLoop(ServerSocket listening) {
+        while (!listening.isClosed()) {
             try {
-                startHandshake(bound.accept());
+                startHandshake(listening.accept());
             } catch (IOException e) {
                 logger.atFine().log("event=accept-failed reason=%s", e.getMessage());
             }
@@ -116,7 +117,7 @@
         try {
             handshakes.execute(() -> handshake(socket));
         } catch (RejectedExecutionException e) {
-            // Left open, it would keep its peer waiting for an answer.
+            // The acceptor is stopping. If the socket stayed open, the peer would keep waiting for an answer.
             handshaking.remove(socket);
             Sockets.close(socket);
         }
@@ -156,9 +157,9 @@
     }
 
     /**
-     * Stops taking connections and ends those there are in order: each peer gets all that was sent to it.
+     * Stops accepting connections and closes the open ones gracefully, so that each peer receives all that was sent to it.
      *
-     * @return completes when all are closed; a peer that doesn't read never lets it
+     * @return a future that completes when all connections are closed; it never does if a peer does not read
      */
     public CompletableFuture<Void> stopGracefully() {
         stopAccepting();
@@ -167,11 +168,11 @@
         return CompletableFuture.allOf(open.stream().map(Connection::whenClosed).toArray(CompletableFuture[]::new));
     }
 
-    /** Ends what is not yet a connection too: its peer is to learn at once that nobody answers here. */
+    /** Also closes sockets whose handshake has not finished, so that their peers notice the stop without a timeout. */
     private void stopAccepting() {
-        ServerSocket bound = server;
-        if (bound != null) {
-            Sockets.close(bound);
+        ServerSocket listening = server;
+        if (listening != null) {
+            Sockets.close(listening);
         }
         handshakes.shutdownNow();
         handshaking.forEach(Sockets::close);
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Connection.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Connection.java
@@ -20,10 +20,10 @@
 import org.quetzalseam.wire.runtime.Threads;
 
 /**
- * A connection after its handshake: one thread reads, one writes. Thread-safe.
+ * A connection after its handshake. One thread reads from it and one writes to it. Thread-safe.
  *
- * <p>{@link #send} never blocks. A peer that doesn't read fills the bounded queue, and then the connection is closed:
- * what it carried is settled as after any other loss.
+ * <p>{@link #send} never blocks. If a peer does not read, the bounded queue fills and the connection is closed; attempts
+ * in flight on it are then handled as after any other loss of a connection.
  */
 public final class Connection {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -32,12 +32,12 @@
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(6);
     private static final byte[] END_MARKER = new byte[0];
 
-    /** Receives what happens on a connection. Calls come from the connection's own threads, one message at a time. */
+    /** Receives the events of a connection. Messages are delivered one at a time, on the connection's reading thread. */
     public interface Listener {
-        /** Takes a message. */
+        /** Handles a received message. */
         void received(Connection connection, Message message);
 
-        /** Learns, once, that the connection is closed. */
+        /** Handles the close of the connection. Called exactly once, on the thread that closes it. */
         void closed(Connection connection);
     }
 
@@ -76,27 +76,30 @@
         Threads.daemon("write-" + name, this::writeAll).start();
     }
 
-    /** Returns who is at the other end. */
+    /** Returns the identity of the peer. */
     public Identity peer() {
         return peer.identity();
     }
 
-    /** Returns the number of this connection within the opener's incarnation. */
+    /** Returns the number of this connection, increasing within the opener's incarnation. */
     public long number() {
         return peer.connection();
     }
 
-    /** Returns whether the connection is still open, as far as is known. */
+    /** Returns whether the connection is open. A loss that has not been detected yet is not taken into account. */
     public boolean isOpen() {
         return !closed.get();
     }
 
-    /** Returns what completes when the connection is closed. */
+    /** Returns a future that completes when the connection is closed. */
     CompletableFuture<Void> whenClosed() {
         return whenClosed;
     }
 
-    /** Queues a message. Returns false when the connection is closed; true doesn't mean that the peer received it. */
+    /**
+     * Queues a message. Returns false if the connection is closed or closing; true does not mean that the peer receives
+     * it.
+     */
     public boolean send(Message message) {
         byte[] frame = MessageCodec.encode(message);
         if (closed.get() || closingGracefully) {
@@ -130,19 +133,22 @@
         close();
     }
 
-    /** Writes all that is queued. Returns whether the end was among it, wherever it stood: it is queued once. */
+    /**
+     * Writes all queued frames. Returns whether the end marker was among them, at whatever position, because it is
+     * queued only once.
+     */
     private boolean writeQueued(byte[] first) throws IOException {
-        boolean ended = false;
+        boolean endReached = false;
         for (byte[] frame = first; frame != null; frame = queue.poll()) {
             if (frame == END_MARKER) {
-                ended = true;
+                endReached = true;
             } else {
                 queuedBytes.addAndGet(-frame.length);
                 FrameCodec.write(out, frame);
             }
         }
         out.flush();
-        return ended;
+        return endReached;
     }
 
     private void readAll() {
@@ -166,9 +172,9 @@
     }
 
     /**
-     * Ends the connection in order: all that was sent before is written, and then the end; nothing is sent from now on. It is
-     * closed when the peer has read the end and closes too. Closing at once instead would drop what is still queued, and an
-     * unread message of the peer would make the kernel discard what has been written.
+     * Closes the connection after all queued messages have been written; later messages are not sent. It is closed once the
+     * peer has read the end of the stream and closes its side too. Closing at once instead would drop the queued messages,
+     * and an unread message from the peer would make the kernel discard what has already been written.
      */
     public void closeGracefully() {
         closingGracefully = true;
@@ -177,7 +183,10 @@
         }
     }
 
-    /** Closes the connection at once; what is still queued is dropped. The listener is told once, however often this is called. */
+    /**
+     * Closes the connection at once and drops queued messages. The listener is notified only once, however often this is
+     * called.
+     */
     public void close() {
         if (!closed.compareAndSet(false, true)) {
             return;
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Dialer.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Dialer.java
@@ -20,8 +20,8 @@
 import org.quetzalseam.wire.runtime.TimerService.Subscription;
 
 /**
- * Keeps one connection to one process open: after a loss it dials again, with a delay that doubles up to a bound and has
- * jitter, so that many processes don't return at the same moment. Thread-safe.
+ * Keeps one connection to one process open. After a loss it dials again, with a delay that doubles up to a limit. The delay
+ * has jitter, so that many processes do not reconnect at the same moment. Thread-safe.
  */
 public final class Dialer implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -29,9 +29,9 @@
     private static final long FIRST_DELAY_MILLIS = 20;
     private static final long MAX_DELAY_MILLIS = 2_000;
 
-    /** Receives what happens on the dialer's connections. */
+    /** Receives the events of the dialer's connections. */
     public interface Listener extends Connection.Listener {
-        /** Learns of a new connection before its first message in either direction. */
+        /** Handles a new connection. Called before any message is sent or received on it. */
         void opened(Connection connection);
     }
 
@@ -43,7 +43,7 @@
     private final TimerService timers;
     private final Listener listener;
     private final AtomicLong connectionNumbers = new AtomicLong();
-    /** Whether an attempt is to be made after the delay or at once, and isn't being made yet. */
+    /** Whether an attempt to connect is scheduled and has not started yet. */
     private final AtomicBoolean attemptPending = new AtomicBoolean();
 
     private final AtomicLong refusedAttempts = new AtomicLong();
@@ -57,11 +57,11 @@
      *
      * @param host address of the other process
      * @param port port of the other process
-     * @param self who this process is
+     * @param self identity of this process
      * @param key the site's key
-     * @param transport makes the sockets
-     * @param timers runs the delayed attempts
-     * @param listener receives what happens
+     * @param transport creates the sockets
+     * @param timers schedules the delayed attempts
+     * @param listener receives the events of the connections
      */
     public Dialer(
             String host,
@@ -90,7 +90,7 @@
         scheduledAttempt = timers.after(delay, () -> dialIfPending(false));
     }
 
-    /** Makes the attempt that is due after a delay now. Does nothing while there is a connection or an attempt is being made. */
+    /** Starts the scheduled attempt now. Does nothing while there is a connection or an attempt is in progress. */
     public void dialNow() {
         if (attemptPending.get()) {
             scheduledAttempt.cancel();
@@ -98,26 +98,31 @@
         }
     }
 
-    private void dialIfPending(boolean hurried) {
+    private void dialIfPending(boolean early) {
         if (attemptPending.compareAndSet(true, false)) {
-            // Dialling blocks, so it has a thread of its own instead of one of the timer's.
-            Threads.daemon("dial-" + host + ":" + port, () -> dial(hurried)).start();
+            // Dialing blocks, so it runs on a thread of its own instead of a timer thread.
+            Threads.daemon("dial-" + host + ":" + port, () -> dial(early)).start();
         }
     }
 
-    /** Returns how many attempts have found no process that answers at the address; one that stays silent isn't counted. */
+    /**
+     * Returns how many attempts failed because no process answers at the address. Attempts that timed out because the peer
+     * was unresponsive are not counted.
+     */
     public long refusedAttempts() {
         return refusedAttempts.get();
     }
 
-    private void dial(boolean hurried) {
+    private void dial(boolean early) {
         if (stopped) {
             return;
         }
         try {
             Connection connection = connect();
             delayMillis = FIRST_DELAY_MILLIS;
-            // Only then current: what is sent earlier would be taken for a part of what the last connection carried.
+            // Becomes current only after this call: the listener would count anything sent earlier as lost with the
+            // previous
+            // connection.
             listener.opened(connection);
             current = connection;
             connection.start();
@@ -129,7 +134,7 @@
             if (isRefusal(e)) {
                 refusedAttempts.incrementAndGet();
             }
-            scheduleRetry(hurried);
+            scheduleRetry(early);
         }
     }
 
@@ -146,26 +151,26 @@
         }
     }
 
-    /** Returns whether an attempt failed because nobody talks at the address. */
+    /** Returns whether an attempt failed because no process answers at the address. */
     private static boolean isRefusal(Exception failure) {
-        return failure instanceof WireException rejected
-                ? rejected.code() == Code.DISCONNECTED
+        return failure instanceof WireException wireFailure
+                ? wireFailure.code() == Code.DISCONNECTED
                 : !(failure instanceof SocketTimeoutException);
     }
 
-    /** Waits for the next attempt; one that was made ahead of its time doesn't put those after it off. */
-    private void scheduleRetry(boolean hurried) {
+    /** Schedules the next attempt. A failed attempt that {@link #dialNow} started early does not double the delay. */
+    private void scheduleRetry(boolean early) {
         if (stopped) {
             return;
         }
         long jitter = ThreadLocalRandom.current().nextLong(delayMillis / 2 + 1);
         scheduleAttempt(Duration.ofMillis(delayMillis / 2 + jitter));
-        if (!hurried) {
+        if (!early) {
             delayMillis = Math.min(MAX_DELAY_MILLIS, delayMillis * 2);
         }
     }
 
-    /** Sends a message over the current connection. Returns false when there is none. */
+    /** Sends a message over the current connection. Returns false if there is none or it is closed or closing. */
     public boolean send(Message message) {
         Connection connection = current;
         return connection != null && connection.send(message);
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Handshake.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Handshake.java
@@ -16,11 +16,11 @@
 import org.quetzalseam.wire.message.Welcome;
 
 /**
- * The first messages of a connection: each side says who it is and proves that it holds the site's key. Both proofs cover
- * a nonce of the other side, so a recorded handshake can't be played again. Stateless.
+ * The handshake of a connection, in which each side identifies itself and proves that it holds the site's key. Both
+ * proofs cover a nonce of the other side, so a recorded handshake cannot be replayed. Stateless.
  */
 final class Handshake {
-    /** Version of the protocol between our processes. */
+    /** Version of the protocol between processes. */
     static final int PROTOCOL_VERSION = 1;
 
     private static final int NONCE_BYTES = 16;
@@ -30,10 +30,10 @@
     private static final SecureRandom RANDOM = new SecureRandom();
 
     /**
-     * Who is at the other end.
+     * The other end of a connection.
      *
-     * @param identity the peer
-     * @param connection number of the connection within the opener's incarnation
+     * @param identity identity of the peer
+     * @param connection number of the connection, increasing within the opener's incarnation
      */
     record Peer(Identity identity, long connection) {}
 
@@ -61,7 +61,8 @@
         Challenge challenge = receive(in, Challenge.class);
         byte[] expected = key.proof(ANSWERER, challenge.incarnation(), nonce, challenge.nonce());
         if (!SiteKey.matches(expected, challenge.proof())) {
-            throw new WireException(Code.NOT_AUTHENTIC, "peer " + challenge.name() + " holds another site key");
+            throw new WireException(
+                    Code.NOT_AUTHENTIC, "peer " + challenge.name() + " does not hold the key of this site");
         }
         send(out, new Proof(key.proof(OPENER, self.incarnation(), nonce, challenge.nonce())));
         receive(in, Welcome.class);
@@ -109,7 +110,7 @@
     private static <T extends Message> T receive(DataInputStream in, Class<T> type) throws IOException {
         byte[] frame = FrameCodec.read(in, MAX_HANDSHAKE_FRAME_BYTES);
         if (frame == null) {
-            throw new WireException(Code.DISCONNECTED, "the peer hung up during the handshake");
+            throw new WireException(Code.DISCONNECTED, "the peer closed the connection during the handshake");
         }
         Message message = MessageCodec.decode(frame);
         if (message instanceof Rejected rejected) {
--- a/wire/src/main/java/org/quetzalseam/wire/connection/SiteKey.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/SiteKey.java
@@ -13,10 +13,10 @@
 import org.quetzalseam.wire.WireException.Code;
 
 /**
- * The secret that all processes of a site share, by which they know each other. Immutable and thread-safe.
+ * The secret that all processes of a site share and authenticate each other with. Immutable and thread-safe.
  *
- * <p>Without a key of its own a process uses {@link #loopback()}, which anybody can compute; such a process must listen
- * on loopback addresses only.
+ * <p>A process that has no configured key uses {@link #loopback()}, which is not a secret; such a process must listen on
+ * loopback addresses only.
  */
 public final class SiteKey {
     private static final String ALGORITHM = "HmacSHA256";
@@ -30,16 +30,16 @@
         this.secret = secret;
     }
 
-    /** Reads the key from a file; white space around it doesn't count. */
+    /** Reads the key from a file, without surrounding white space. */
     public static SiteKey read(Path file) {
         try {
             return of(Files.readString(file, StandardCharsets.UTF_8).strip());
         } catch (IOException e) {
-            throw new WireException(Code.NOT_AUTHENTIC, "site key " + file + " can't be read: " + e.getMessage(), e);
+            throw new WireException(Code.NOT_AUTHENTIC, "site key " + file + " cannot be read: " + e.getMessage(), e);
         }
     }
 
-    /** Returns a key made from a text of at least 16 characters. */
+    /** Returns the key for a text of at least 16 bytes in UTF-8. */
     public static SiteKey of(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (bytes.length < MIN_BYTES) {
@@ -49,22 +49,22 @@
         return new SiteKey(bytes, true);
     }
 
-    /** Returns the key for processes that talk over loopback only. */
+    /** Returns the well-known key for processes that communicate over loopback only. */
     public static SiteKey loopback() {
         return new SiteKey("loopback processes need no key".getBytes(StandardCharsets.UTF_8), false);
     }
 
-    /** Returns whether the key is a secret, so that a process may listen on other than loopback addresses. */
+    /** Returns whether the key is secret, so that a process may listen on addresses other than loopback. */
     public boolean isSecret() {
         return secret;
     }
 
-    /** Returns the proof that one side gives: an HMAC over its direction, its incarnation and both nonces. */
-    byte[] proof(String direction, long incarnation, byte[] openerNonce, byte[] answererNonce) {
+    /** Returns the proof of one side: an HMAC over the name of the side, its incarnation and both nonces. */
+    byte[] proof(String side, long incarnation, byte[] openerNonce, byte[] answererNonce) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(key);
-            mac.update(direction.getBytes(StandardCharsets.US_ASCII));
+            mac.update(side.getBytes(StandardCharsets.US_ASCII));
             mac.update(ByteBuffer.allocate(Long.BYTES).putLong(incarnation).array());
             mac.update(openerNonce);
             return mac.doFinal(answererNonce);
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Sockets.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Sockets.java
@@ -4,7 +4,7 @@
 import java.io.Closeable;
 import java.io.IOException;
 
-/** Closes sockets. Stateless. */
+/** Closes sockets and logs failures to do so. Stateless. */
 final class Sockets {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Transport.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Transport.java
@@ -20,8 +20,8 @@
 import org.quetzalseam.wire.WireException.Code;
 
 /**
- * Makes the sockets between our processes: plain TCP, or TLS with both sides' certificates checked. Immutable and
- * thread-safe.
+ * Creates the sockets between processes: plain TCP, or TLS in which both sides check the certificate of the other.
+ * Immutable and thread-safe.
  */
 public final class Transport {
     private static final int BACKLOG = 512;
@@ -52,7 +52,8 @@
             context.init(keys.getKeyManagers(), trust.getTrustManagers(), null);
             return new Transport(context.getSocketFactory(), context.getServerSocketFactory());
         } catch (IOException | GeneralSecurityException e) {
-            throw new WireException(Code.NOT_AUTHENTIC, "key store " + keyStore + ": " + e.getMessage(), e);
+            throw new WireException(
+                    Code.NOT_AUTHENTIC, "key store " + keyStore + " cannot be used: " + e.getMessage(), e);
         }
     }
 
--- a/wire/src/main/java/org/quetzalseam/wire/connection/package-info.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/package-info.java
@@ -1,4 +1,4 @@
-/** Authenticated, framed TCP connections that carry messages, and the timer service they subscribe to. */
+/** Authenticated TCP connections that carry framed messages between processes. */
 @NullMarked
 package org.quetzalseam.wire.connection;
 
--- a/wire/src/main/java/org/quetzalseam/wire/package-info.java
+++ b/wire/src/main/java/org/quetzalseam/wire/package-info.java
@@ -1,4 +1,4 @@
-/** The protocol between the processes of quetzalseam: frames, their codec, and the errors of both. */
+/** The protocol between the processes of quetzalseam: the codecs of frames and messages, and their errors. */
 @NullMarked
 package org.quetzalseam.wire;
 
--- a/wire/src/main/java/org/quetzalseam/wire/runtime/Threads.java
+++ b/wire/src/main/java/org/quetzalseam/wire/runtime/Threads.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.ThreadFactory;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Makes threads that carry a name and don't keep the process alive. Stateless. */
+/** Creates named daemon threads, which do not keep the process alive. Stateless. */
 public final class Threads {
     private Threads() {}
 
@@ -13,7 +13,7 @@
         return task -> daemon(name + "-" + number.incrementAndGet(), task);
     }
 
-    /** Returns a daemon thread that is not yet started. */
+    /** Returns a daemon thread that has not been started. */
     public static Thread daemon(String name, Runnable task) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
--- a/wire/src/main/java/org/quetzalseam/wire/runtime/TimerService.java
+++ b/wire/src/main/java/org/quetzalseam/wire/runtime/TimerService.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one source of timed calls in a process. Parts subscribe and cancel their subscriptions when they stop. Thread-safe.
+ * Schedules all timed calls of a process. Components subscribe, and cancel their subscriptions when they stop. Thread-safe.
  *
- * <p>Calls run on a few shared threads and must not block for long. A call that throws is logged and called again at its
- * next turn.
+ * <p>Calls run on a few shared threads and must not block for long. If a periodic call throws, the
+ * exception is logged and the call is repeated as usual.
  */
 public final class TimerService implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -21,13 +21,13 @@
     /** A subscription that can be cancelled; cancelling twice is harmless. */
     @FunctionalInterface
     public interface Subscription {
-        /** Makes no further calls. */
+        /** Prevents further calls; a call in progress is not interrupted. */
         void cancel();
     }
 
     private final ScheduledExecutorService executor;
 
-    /** Creates a timer service whose threads carry the process's name. */
+    /** Creates a timer service whose threads are named after the process. */
     public TimerService(String name) {
         executor = Executors.newScheduledThreadPool(THREADS, Threads.named(name + "-timer"));
     }
@@ -37,13 +37,13 @@
         return System.nanoTime();
     }
 
-    /** Calls again and again, with {@code period} from the end of one call to the start of the next. */
+    /** Calls periodically, {@code period} after the subscription and then {@code period} after the end of each call. */
     public Subscription every(Duration period, Runnable call) {
         return schedule(() -> executor.scheduleWithFixedDelay(
                 logFailures(call), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS));
     }
 
-    /** Calls once, after the delay. */
+    /** Calls once, after {@code delay}. */
     public Subscription after(Duration delay, Runnable call) {
         return schedule(() -> executor.schedule(logFailures(call), delay.toNanos(), TimeUnit.NANOSECONDS));
     }
@@ -53,7 +53,7 @@
             ScheduledFuture<?> future = scheduling.get();
             return () -> future.cancel(false);
         } catch (RejectedExecutionException expected) {
-            // The process is stopping: what is subscribed now would never be called.
+            // The process is stopping, so the call would never be made.
             return () -> {};
         }
     }
@@ -70,7 +70,7 @@
 
     @Override
     public void start() {
-        // The executor starts its threads with the first subscription.
+        // The executor starts its threads on the first subscriptions.
     }
 
     @Override
--- a/wire/src/main/java/org/quetzalseam/wire/runtime/package-info.java
+++ b/wire/src/main/java/org/quetzalseam/wire/runtime/package-info.java
@@ -1,4 +1,4 @@
-/** What every part of a process shares: services with start and stop, and the timer service. */
+/** Classes shared by all components of a process: the service life cycle, threads and timers. */
 @NullMarked
 package org.quetzalseam.wire.runtime;
 
--- a/wire/src/test/java/org/quetzalseam/wire/connection/AcceptorStopTest.java
+++ b/wire/src/test/java/org/quetzalseam/wire/connection/AcceptorStopTest.java
@@ -17,7 +17,7 @@
 import org.quetzalseam.wire.message.Role;
 
 class AcceptorStopTest {
-    /** More than are greeted at a time, so that some wait. */
+    /** More than the number of concurrent handshakes, so that some connections are queued. */
     private static final int PEERS = 40;
 
     private static final Duration CLOSE_LIMIT = Duration.ofSeconds(1);
@@ -47,18 +47,18 @@
     private static final class IgnoringListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
-            // Nothing is said here.
+            // No messages are sent in this test.
         }
 
         @Override
         public void closed(Connection connection) {
-            // Nothing is opened here.
+            // No handshake finishes in this test.
         }
     }
 
     /**
-     * A process that dials another one that is stopping has to learn at once that nobody answers there. A connection that was accepted
-     * and never greeted kept it waiting for its own time limit, in which it couldn't tell whether the other is up.
+     * A stop must close accepted connections whose handshake has not finished. If they stay open, the dialing process waits
+     * for its own timeout and cannot tell until then whether the other process is up.
      */
     @Test
     void aStopClosesAtOnceConnectionsThatHaveNotFinishedTheirHandshake() throws IOException {
@@ -75,7 +75,7 @@
     private static boolean isClosed(Socket peer) {
         try {
             while (peer.getInputStream().read() >= 0) {
-                // A greeting may have been sent before the stop.
+                // Handshake messages may have been sent before the stop.
             }
             return true;
         } catch (SocketTimeoutException e) {
--- a/wire/src/test/java/org/quetzalseam/wire/connection/ConnectionCloseTest.java
+++ b/wire/src/test/java/org/quetzalseam/wire/connection/ConnectionCloseTest.java
@@ -24,10 +24,10 @@
     private static final int MESSAGES = 400;
     private static final int KEYS_PER_MESSAGE = 100;
     private static final int CONNECTIONS = 300;
-    /** What the end comes later by from one connection to the next, so that some of them are ended in the midst of a message. */
+    /** Increase of the delay of the close from one connection to the next, so that some are closed during a write. */
     private static final long CLOSE_DELAY_STEP_NANOS = 1_000;
 
-    /** Message size times messages is some megabytes: more than the buffers between the two ends take. */
+    /** All messages together are several megabytes: more than the buffers between the two ends hold. */
     private static final Leaving LARGE = new Leaving(Collections.nCopies(KEYS_PER_MESSAGE, "k".repeat(300)));
 
     private final TimerService timers = new TimerService("test");
@@ -58,20 +58,20 @@
     private static final class IgnoringListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
-            // What the peer says doesn't matter here.
+            // Messages from the peer are irrelevant in this test.
         }
 
         @Override
         public void closed(Connection connection) {
-            // The test waits for the end itself.
+            // The test waits for the close itself.
         }
     }
 
-    /** Reads nothing until it may, as a peer beside load. */
+    /** Blocks the reading thread until the test releases it, like a peer on an overloaded machine. */
     private final class DelayedListener implements Dialer.Listener {
         @Override
         public void opened(Connection connection) {
-            // Nothing to prepare.
+            // No preparation is needed.
         }
 
         @Override
@@ -86,7 +86,7 @@
 
         @Override
         public void closed(Connection connection) {
-            // Counted by what it received.
+            // The test checks the number of received messages instead.
         }
     }
 
@@ -111,7 +111,9 @@
             assertThat(connection.send(LARGE)).isTrue();
         }
         CompletableFuture<Void> closed = acceptor.stopGracefully();
-        assertThat(connection.send(LARGE)).as("nothing is sent after the end").isFalse();
+        assertThat(connection.send(LARGE))
+                .as("nothing is sent after a graceful close")
+                .isFalse();
         dialer.send(LARGE);
         assertThat(closed).isNotDone();
         mayRead.countDown();
@@ -139,7 +141,7 @@
         dialer.stop();
     }
 
-    /** Waits for less time than a thread can be parked for. */
+    /** Busy-waits, because the delays are shorter than a thread can be parked for. */
     private static void spin(long nanos) {
         long until = System.nanoTime() + nanos;
         while (System.nanoTime() - until < 0) {
@@ -148,8 +150,9 @@
     }
 
     /**
-     * An endpoint that stopped as planned ended one of its connections and not the other: the writer had taken a message just before the end was
-     * queued, took the end for one more message, and waited for the next. The entry went on asking there until the limit of six seconds.
+     * Guards against a lost end marker: the writer has taken a message just before the marker is queued, treats the marker as
+     * one more message and waits for the next one. The connection of a stopping endpoint then stays open, and the entry uses
+     * it until the read timeout of 6 seconds.
      */
     @Test
     void aConnectionClosedGracefullyDuringAWriteIsClosed() throws Exception {
--- a/wire/src/test/java/org/quetzalseam/wire/connection/DialerTest.java
+++ b/wire/src/test/java/org/quetzalseam/wire/connection/DialerTest.java
@@ -50,11 +50,11 @@
 
         @Override
         public void closed(Connection connection) {
-            // The test ends it.
+            // Closes are irrelevant in this test.
         }
     }
 
-    /** Takes its time to prepare for a new connection, as a listener's thread does beside load. */
+    /** Takes long to prepare for a new connection, like a listener on an overloaded machine. */
     private final class SlowListener implements Dialer.Listener {
         @Override
         public void opened(Connection connection) {
@@ -68,18 +68,18 @@
 
         @Override
         public void received(Connection connection, Message message) {
-            // The peer says nothing.
+            // The peer sends no messages.
         }
 
         @Override
         public void closed(Connection connection) {
-            // The test ends it.
+            // Closes are irrelevant in this test.
         }
     }
 
     /**
-     * A listener learns of a new connection so that it can settle what was under way on the last one. What is sent before it has
-     * done so is taken for a part of that, and its sender is told that it is lost although it arrives.
+     * A listener is notified of a new connection so that it can fail the requests in flight on the previous one. A message sent
+     * before it has done so would be failed with them, and its sender would consider it lost although it arrives.
      */
     @Test
     void nothingIsSentOverANewConnectionBeforeItsListenerIsPrepared() throws InterruptedException {
