--- a/wire/src/main/java/org/quetzalseam/wire/RecordCodec.java
+++ b/wire/src/main/java/org/quetzalseam/wire/RecordCodec.java
@@ -23,7 +23,8 @@
  *
  * <p>Components may be {@code int}, {@code long}, {@code boolean}, {@code String}, {@code byte[]}, enums, records, and
  * lists or string-keyed maps of these. Components that an older sender does not know are unpacked as zero, false, empty or
- * the first enum constant; components that a newer sender has added at the end are skipped.
+ * the first enum constant; components that a newer sender has added at the end are skipped. A missing
+ * component of a record type is an error.
  */
 final class RecordCodec {
     private record RecordLayout(
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Acceptor.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Acceptor.java
@@ -80,9 +80,10 @@
                         Code.NOT_AUTHENTIC,
                         "listening on " + host + " needs a site key; without one only loopback addresses are allowed");
             }
-            ServerSocket listening = transport.listen(host, port);
-            server = listening;
-            Threads.daemon(self.name() + "-accept", () -> acceptLoop(listening)).start();
+            ServerSocket serverSocket = transport.listen(host, port);
+            server = serverSocket;
+            Threads.daemon(self.name() + "-accept", () -> acceptLoop(serverSocket))
+                    .start();
         } catch (IOException e) {
             throw new WireException(Code.DISCONNECTED, "cannot listen on " + host + ":" + port, e);
         }
@@ -90,11 +91,11 @@
 
     /** Returns the port that the acceptor listens on. */
     public int port() {
-        ServerSocket listening = server;
-        if (listening == null) {
+        ServerSocket serverSocket = server;
+        if (serverSocket == null) {
             throw new IllegalStateException("the acceptor has not been started");
         }
-        return listening.getLocalPort();
+        return serverSocket.getLocalPort();
     }
 
     /** Returns the open connections. */
@@ -102,10 +103,10 @@
         return Set.copyOf(connections);
     }
 
-    private void acceptLoop(ServerSocket listening) {
-        while (!listening.isClosed()) {
+    private void acceptLoop(ServerSocket serverSocket) {
+        while (!serverSocket.isClosed()) {
             try {
-                startHandshake(listening.accept());
+                startHandshake(serverSocket.accept());
             } catch (IOException e) {
                 logger.atFine().log("event=accept-failed reason=%s", e.getMessage());
             }
@@ -170,9 +171,9 @@
 
     /** Also closes sockets whose handshake has not finished, so that their peers notice the stop without a timeout. */
     private void stopAccepting() {
-        ServerSocket listening = server;
-        if (listening != null) {
-            Sockets.close(listening);
+        ServerSocket serverSocket = server;
+        if (serverSocket != null) {
+            Sockets.close(serverSocket);
         }
         handshakes.shutdownNow();
         handshaking.forEach(Sockets::close);
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Connection.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Connection.java
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Queues a message. Returns false if the connection is closed or closing; true does not mean that the peer receives
-     * it.
+     * Queues a message. Returns false if the connection is closed or closing, or is closed now because the queue is
+     * full; true does not mean that the peer receives the message.
      */
     public boolean send(Message message) {
         byte[] frame = MessageCodec.encode(message);
@@ -134,8 +134,8 @@
     }
 
     /**
-     * Writes all queued frames. Returns whether the end marker was among them, at whatever position, because it is
-     * queued only once.
+     * Writes all queued frames. Returns whether the end marker was among them, at whatever position: it is
+     * queued only once, so a missed marker would leave the connection open.
      */
     private boolean writeQueued(byte[] first) throws IOException {
         boolean endReached = false;
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Dialer.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Dialer.java
@@ -120,9 +120,8 @@
         try {
             Connection connection = connect();
             delayMillis = FIRST_DELAY_MILLIS;
-            // Becomes current only after this call: the listener would count anything sent earlier as lost with the
-            // previous
-            // connection.
+            // Becomes current only after this call. The listener would count a message sent earlier as lost with
+            // the previous connection.
             listener.opened(connection);
             current = connection;
             connection.start();
