--- a/wire/src/main/java/org/quetzalseam/wire/message/Challenge.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/Challenge.java
@@ -1,8 +1,8 @@
 package org.quetzalseam.wire.message;
 
 /**
- * Answers a {@link Hello}: identifies the accepting process, proves that it holds the site's key, and carries the challenge that
- * the opener must answer.
+ * Answers a {@link Hello}: identifies the accepting process, proves that it holds the site's key, and carries
+ * the challenge that the opener must answer.
  *
  * @param protocol version of the protocol
  * @param role role of the process
--- a/wire/src/main/java/org/quetzalseam/wire/message/KeyUse.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/KeyUse.java
@@ -9,8 +9,8 @@
  *     does not contain its creation time
  * @param unchangedMillis how long the members of the endpoint's pool have been the same at the entry, in milliseconds
  * @param members version of the list of VMs by which the entry chose the endpoint
- * @param fencedFor incarnation of the endpoint on whose behalf every other process that may have seen the key has fenced it, or
- *     0; the result of that inquiry is not valid for a later incarnation
+ * @param fencedFor incarnation of the endpoint on whose behalf every other process that may have seen the key has fenced
+ *     it, or 0; the result of that inquiry is not valid for a later incarnation
  */
 public record KeyUse(
         String key, String fingerprint, long mintedAtMillis, long unchangedMillis, long members, long fencedFor) {
--- a/wire/src/main/java/org/quetzalseam/wire/message/SiteState.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/SiteState.java
@@ -25,7 +25,10 @@
         return new SiteState(Manifest.none(), Map.of(), 0, List.of());
     }
 
-    /** Returns a state with the newer catalogue and the newer list of VMs of two states; on equal versions those of {@code a}. */
+    /**
+     * Returns a state with the newer catalogue and the newer list of VMs of two states; on equal versions those of
+     * {@code a}.
+     */
     public static SiteState newer(SiteState a, SiteState b) {
         SiteState catalogue = a.manifest.version() >= b.manifest.version() ? a : b;
         SiteState list = a.members >= b.members ? a : b;
