--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
@@ -273,7 +273,7 @@
     /** Work is over when its last output is handed to a connection, which may be seconds before that has left. */
     private void deliverLastMessages() {
         try {
-            acceptor.finish().get(LAST_MESSAGES_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+            acceptor.stopGracefully().get(LAST_MESSAGES_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             logger.atWarning().log(
                     "event=last-messages-cut name=%s limit_ms=%d connections=%d",
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/ServiceBackend.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/ServiceBackend.java
@@ -113,7 +113,7 @@
             return false;
         }
         Job job = new Job(QueuedAttempts.of(call.attempt(), call.work(), 1), call, sessions);
-        if (!call.key().present() || claim(job, call.key())) {
+        if (!call.key().isPresent() || claim(job, call.key())) {
             admission.submit(job, call.work().queueLength(), 0);
             releaseIfRefused(job, call);
         }
@@ -202,7 +202,7 @@
 
     private void releaseIfRefused(Job job, Call call) {
         job.whenRefused(refused -> {
-            if (call.key().present()) {
+            if (call.key().isPresent()) {
                 keys.release(call.key().key(), refused, System.nanoTime());
             }
         });
@@ -239,7 +239,7 @@
     }
 
     private void finish(Job job, Call call, AttemptReply reply) {
-        if (call.key().present() && !(reply instanceof Refused)) {
+        if (call.key().isPresent() && !(reply instanceof Refused)) {
             keys.finish(call.key().key(), reply, System.nanoTime());
         }
         job.complete(reply);
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EndpointLink.java
@@ -135,9 +135,9 @@
 
     /** Finds out at once whether the endpoint's process is up, instead of when the link would dial next. */
     Reachability checkReachability(Duration limit) {
-        long before = dialer.refusals();
+        long before = dialer.refusedAttempts();
         // The first refusal may answer an attempt that was made before.
-        BooleanSupplier undecided = () -> dialer.refusals() - before < 2;
+        BooleanSupplier undecided = () -> dialer.refusedAttempts() - before < 2;
         boolean connected = awaitConnected(limit, () -> {
             dialer.dialNow();
             return !stopped && undecided.getAsBoolean();
@@ -153,7 +153,7 @@
 
     boolean connected() {
         Connection connection = current;
-        return connection != null && connection.open();
+        return connection != null && connection.isOpen();
     }
 
     /** Returns whether no connection has been made yet, as to an endpoint that has just been listed. */
--- a/wire/src/main/java/org/quetzalseam/wire/FrameCodec.java
+++ b/wire/src/main/java/org/quetzalseam/wire/FrameCodec.java
@@ -15,7 +15,7 @@
  */
 public final class FrameCodec {
     /** Longest frame accepted, in bytes. */
-    public static final int MAX_FRAME = 4 << 20;
+    public static final int MAX_FRAME_BYTES = 4 << 20;
 
     private FrameCodec() {}
 
@@ -46,9 +46,9 @@
 
     /** Writes one frame and leaves flushing to the caller. */
     public static void write(OutputStream out, byte[] content) throws IOException {
-        if (content.length == 0 || content.length > MAX_FRAME) {
+        if (content.length == 0 || content.length > MAX_FRAME_BYTES) {
             throw new WireException(
-                    Code.BAD_FRAME, "length: expected 1 to " + MAX_FRAME + " bytes, got " + content.length);
+                    Code.BAD_FRAME, "length: expected 1 to " + MAX_FRAME_BYTES + " bytes, got " + content.length);
         }
         out.write(ByteBuffer.allocate(Integer.BYTES).putInt(content.length).array());
         out.write(content);
--- a/wire/src/main/java/org/quetzalseam/wire/RecordCodec.java
+++ b/wire/src/main/java/org/quetzalseam/wire/RecordCodec.java
@@ -26,15 +26,16 @@
  * empty; those that a newer sender has added at the end are skipped.
  */
 final class RecordCodec {
-    private record Shape(Class<?> type, RecordComponent[] components, Method[] accessors, Constructor<?> constructor) {}
+    private record RecordLayout(
+            Class<?> type, RecordComponent[] components, Method[] accessors, Constructor<?> constructor) {}
 
-    private final Map<Class<?>, Shape> shapes = new ConcurrentHashMap<>();
+    private final Map<Class<?>, RecordLayout> layouts = new ConcurrentHashMap<>();
 
-    private Shape shape(Class<?> type) {
-        return shapes.computeIfAbsent(type, RecordCodec::inspect);
+    private RecordLayout layout(Class<?> type) {
+        return layouts.computeIfAbsent(type, RecordCodec::inspect);
     }
 
-    private static Shape inspect(Class<?> type) {
+    private static RecordLayout inspect(Class<?> type) {
         RecordComponent[] components = type.getRecordComponents();
         Method[] accessors = new Method[components.length];
         Class<?>[] types = new Class<?>[components.length];
@@ -46,21 +47,21 @@
         try {
             Constructor<?> constructor = type.getDeclaredConstructor(types);
             constructor.setAccessible(true);
-            return new Shape(type, components, accessors, constructor);
+            return new RecordLayout(type, components, accessors, constructor);
         } catch (NoSuchMethodException e) {
             throw new IllegalStateException("record " + type + " has no canonical constructor", e);
         }
     }
 
     void pack(MessagePacker packer, Object value) throws IOException {
-        Shape shape = shape(value.getClass());
+        RecordLayout shape = layout(value.getClass());
         packer.packArrayHeader(shape.components.length);
         for (Method accessor : shape.accessors) {
-            packValue(packer, call(accessor, value));
+            packValue(packer, componentValue(accessor, value));
         }
     }
 
-    private static Object call(Method accessor, Object target) {
+    private static Object componentValue(Method accessor, Object target) {
         try {
             return accessor.invoke(target);
         } catch (IllegalAccessException | InvocationTargetException e) {
@@ -101,12 +102,12 @@
     }
 
     <T> T unpack(MessageUnpacker unpacker, Class<T> type) throws IOException {
-        Shape shape = shape(type);
+        RecordLayout shape = layout(type);
         int length = unpacker.unpackArrayHeader();
         Object[] arguments = new Object[shape.components.length];
         for (int i = 0; i < arguments.length; i++) {
             Type component = shape.components[i].getGenericType();
-            arguments[i] = i < length ? unpackValue(unpacker, component) : absent(component);
+            arguments[i] = i < length ? unpackValue(unpacker, component) : defaultValue(component);
         }
         unpacker.skipValue(Math.max(0, length - arguments.length));
         try {
@@ -136,7 +137,7 @@
         } else if (type == byte[].class) {
             return unpacker.readPayload(boundedLength(unpacker.unpackBinaryHeader()));
         } else if (type instanceof Class<?> raw && raw.isEnum()) {
-            return constant(raw, unpacker.unpackString());
+            return enumConstant(raw, unpacker.unpackString());
         } else if (type instanceof Class<?> raw && raw.isRecord()) {
             return unpack(unpacker, raw);
         }
@@ -144,7 +145,7 @@
     }
 
     private static int boundedLength(int length) {
-        if (length > FrameCodec.MAX_FRAME) {
+        if (length > FrameCodec.MAX_FRAME_BYTES) {
             throw new WireException(Code.BAD_MESSAGE, "a binary value is longer than a frame");
         }
         return length;
@@ -172,7 +173,7 @@
         return map;
     }
 
-    private static Object constant(Class<?> type, String name) {
+    private static Object enumConstant(Class<?> type, String name) {
         return Arrays.stream(type.getEnumConstants())
                 .filter(constant -> ((Enum<?>) constant).name().equals(name))
                 .findFirst()
@@ -180,7 +181,7 @@
                         () -> new WireException(Code.BAD_MESSAGE, "no " + type.getSimpleName() + " named " + name));
     }
 
-    private static Object absent(Type type) {
+    private static Object defaultValue(Type type) {
         if (type instanceof ParameterizedType parameterized) {
             return parameterized.getRawType() == List.class ? List.of() : Map.of();
         }
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Acceptor.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Acceptor.java
@@ -26,7 +26,7 @@
 public final class Acceptor implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(3);
-    private static final int HANDSHAKES_AT_ONCE = 16;
+    private static final int MAX_CONCURRENT_HANDSHAKES = 16;
 
     private final String host;
     private final int port;
@@ -34,7 +34,7 @@
     private final SiteKey key;
     private final Transport transport;
     private final Connection.Listener listener;
-    private final Consumer<Connection> opened;
+    private final Consumer<Connection> onOpened;
     /** Sockets that have been accepted and are not yet a connection. */
     private final Set<Socket> handshaking = ConcurrentHashMap.newKeySet();
 
@@ -67,20 +67,21 @@
         this.key = key;
         this.transport = transport;
         this.listener = listener;
-        this.opened = opened;
-        this.handshakes = Executors.newFixedThreadPool(HANDSHAKES_AT_ONCE, Threads.named(self.name() + "-handshake"));
+        this.onOpened = opened;
+        this.handshakes =
+                Executors.newFixedThreadPool(MAX_CONCURRENT_HANDSHAKES, Threads.named(self.name() + "-handshake"));
     }
 
     @Override
     public void start() {
         try {
-            if (!key.secret() && !InetAddress.getByName(host).isLoopbackAddress()) {
+            if (!key.isSecret() && !InetAddress.getByName(host).isLoopbackAddress()) {
                 throw new WireException(
                         Code.NOT_AUTHENTIC, "listening on " + host + " needs a site key; without one only loopback");
             }
             ServerSocket bound = transport.listen(host, port);
             server = bound;
-            Threads.daemon(self.name() + "-accept", () -> acceptAll(bound)).start();
+            Threads.daemon(self.name() + "-accept", () -> acceptLoop(bound)).start();
         } catch (IOException e) {
             throw new WireException(Code.DISCONNECTED, "can't listen on " + host + ":" + port, e);
         }
@@ -100,17 +101,17 @@
         return Set.copyOf(connections);
     }
 
-    private void acceptAll(ServerSocket bound) {
+    private void acceptLoop(ServerSocket bound) {
         while (!bound.isClosed()) {
             try {
-                take(bound.accept());
+                startHandshake(bound.accept());
             } catch (IOException e) {
                 logger.atFine().log("event=accept-failed reason=%s", e.getMessage());
             }
         }
     }
 
-    private void take(Socket socket) {
+    private void startHandshake(Socket socket) {
         handshaking.add(socket);
         try {
             handshakes.execute(() -> handshake(socket));
@@ -128,9 +129,9 @@
             DataInputStream in = Connection.input(socket);
             OutputStream out = Connection.output(socket);
             Handshake.Peer peer = Handshake.answer(in, out, self, key);
-            Connection connection = new Connection(socket, in, out, peer, new Forgetting());
+            Connection connection = new Connection(socket, in, out, peer, new RemovingListener());
             connections.add(connection);
-            opened.accept(connection);
+            onOpened.accept(connection);
             connection.start();
         } catch (IOException | RuntimeException e) {
             logger.atWarning().log(
@@ -141,7 +142,7 @@
         }
     }
 
-    private final class Forgetting implements Connection.Listener {
+    private final class RemovingListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
             listener.received(connection, message);
@@ -159,10 +160,10 @@
      *
      * @return completes when all are closed; a peer that doesn't read never lets it
      */
-    public CompletableFuture<Void> finish() {
+    public CompletableFuture<Void> stopGracefully() {
         stopAccepting();
         Set<Connection> open = connections();
-        open.forEach(Connection::finish);
+        open.forEach(Connection::closeGracefully);
         return CompletableFuture.allOf(open.stream().map(Connection::whenClosed).toArray(CompletableFuture[]::new));
     }
 
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Connection.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Connection.java
@@ -29,8 +29,8 @@
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int MAX_QUEUED_FRAMES = 8192;
     private static final long MAX_QUEUED_BYTES = 16L << 20;
-    private static final Duration SILENCE = Duration.ofSeconds(6);
-    private static final byte[] END = new byte[0];
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(6);
+    private static final byte[] END_MARKER = new byte[0];
 
     /** Receives what happens on a connection. Calls come from the connection's own threads, one message at a time. */
     public interface Listener {
@@ -50,7 +50,7 @@
     private final AtomicLong queuedBytes = new AtomicLong();
     private final AtomicBoolean closed = new AtomicBoolean();
     private final CompletableFuture<Void> whenClosed = new CompletableFuture<>();
-    private volatile boolean finishing;
+    private volatile boolean closingGracefully;
 
     Connection(Socket socket, DataInputStream in, OutputStream out, Handshake.Peer peer, Listener listener)
             throws IOException {
@@ -59,7 +59,7 @@
         this.out = out;
         this.peer = peer;
         this.listener = listener;
-        socket.setSoTimeout((int) SILENCE.toMillis());
+        socket.setSoTimeout((int) READ_TIMEOUT.toMillis());
     }
 
     static DataInputStream input(Socket socket) throws IOException {
@@ -87,7 +87,7 @@
     }
 
     /** Returns whether the connection is still open, as far as is known. */
-    public boolean open() {
+    public boolean isOpen() {
         return !closed.get();
     }
 
@@ -99,7 +99,7 @@
     /** Queues a message. Returns false when the connection is closed; true doesn't mean that the peer received it. */
     public boolean send(Message message) {
         byte[] frame = MessageCodec.encode(message);
-        if (closed.get() || finishing) {
+        if (closed.get() || closingGracefully) {
             return false;
         }
         long bytes = queuedBytes.addAndGet(frame.length);
@@ -134,7 +134,7 @@
     private boolean writeQueued(byte[] first) throws IOException {
         boolean ended = false;
         for (byte[] frame = first; frame != null; frame = queue.poll()) {
-            if (frame == END) {
+            if (frame == END_MARKER) {
                 ended = true;
             } else {
                 queuedBytes.addAndGet(-frame.length);
@@ -147,10 +147,10 @@
 
     private void readAll() {
         try {
-            byte[] frame = FrameCodec.read(in, FrameCodec.MAX_FRAME);
+            byte[] frame = FrameCodec.read(in, FrameCodec.MAX_FRAME_BYTES);
             while (frame != null && !closed.get()) {
                 listener.received(this, MessageCodec.decode(frame));
-                frame = FrameCodec.read(in, FrameCodec.MAX_FRAME);
+                frame = FrameCodec.read(in, FrameCodec.MAX_FRAME_BYTES);
             }
         } catch (IOException e) {
             logger.atFine().log(
@@ -170,9 +170,9 @@
      * closed when the peer has read the end and closes too. Closing at once instead would drop what is still queued, and an
      * unread message of the peer would make the kernel discard what has been written.
      */
-    public void finish() {
-        finishing = true;
-        if (!queue.offer(END)) {
+    public void closeGracefully() {
+        closingGracefully = true;
+        if (!queue.offer(END_MARKER)) {
             close();
         }
     }
@@ -183,7 +183,7 @@
             return;
         }
         queue.clear();
-        queue.offer(END);
+        queue.offer(END_MARKER);
         Sockets.close(socket);
         listener.closed(this);
         whenClosed.complete(null);
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Dialer.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Dialer.java
@@ -25,7 +25,7 @@
  */
 public final class Dialer implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final Duration TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final long FIRST_DELAY_MILLIS = 20;
     private static final long MAX_DELAY_MILLIS = 2_000;
 
@@ -42,14 +42,14 @@
     private final Transport transport;
     private final TimerService timers;
     private final Listener listener;
-    private final AtomicLong numbers = new AtomicLong();
+    private final AtomicLong connectionNumbers = new AtomicLong();
     /** Whether an attempt is to be made after the delay or at once, and isn't being made yet. */
-    private final AtomicBoolean due = new AtomicBoolean();
+    private final AtomicBoolean attemptPending = new AtomicBoolean();
 
-    private final AtomicLong refusals = new AtomicLong();
+    private final AtomicLong refusedAttempts = new AtomicLong();
     private volatile @Nullable Connection current;
     private volatile boolean stopped;
-    private volatile Subscription delayed = () -> {};
+    private volatile Subscription scheduledAttempt = () -> {};
     private long delayMillis = FIRST_DELAY_MILLIS;
 
     /**
@@ -82,32 +82,32 @@
 
     @Override
     public void start() {
-        dialSoon(Duration.ZERO);
+        scheduleAttempt(Duration.ZERO);
     }
 
-    private void dialSoon(Duration delay) {
-        due.set(true);
-        delayed = timers.after(delay, () -> dialIfDue(false));
+    private void scheduleAttempt(Duration delay) {
+        attemptPending.set(true);
+        scheduledAttempt = timers.after(delay, () -> dialIfPending(false));
     }
 
     /** Makes the attempt that is due after a delay now. Does nothing while there is a connection or an attempt is being made. */
     public void dialNow() {
-        if (due.get()) {
-            delayed.cancel();
-            dialIfDue(true);
+        if (attemptPending.get()) {
+            scheduledAttempt.cancel();
+            dialIfPending(true);
         }
     }
 
-    private void dialIfDue(boolean hurried) {
-        if (due.compareAndSet(true, false)) {
+    private void dialIfPending(boolean hurried) {
+        if (attemptPending.compareAndSet(true, false)) {
             // Dialling blocks, so it has a thread of its own instead of one of the timer's.
             Threads.daemon("dial-" + host + ":" + port, () -> dial(hurried)).start();
         }
     }
 
     /** Returns how many attempts have found no process that answers at the address; one that stays silent isn't counted. */
-    public long refusals() {
-        return refusals.get();
+    public long refusedAttempts() {
+        return refusedAttempts.get();
     }
 
     private void dial(boolean hurried) {
@@ -127,19 +127,19 @@
         } catch (IOException | WireException e) {
             logger.atFine().log("event=dial-failed peer=%s:%d reason=%s", host, port, e.getMessage());
             if (isRefusal(e)) {
-                refusals.incrementAndGet();
+                refusedAttempts.incrementAndGet();
             }
-            retry(hurried);
+            scheduleRetry(hurried);
         }
     }
 
     private Connection connect() throws IOException {
-        Socket socket = transport.connect(host, port, TIMEOUT);
+        Socket socket = transport.connect(host, port, CONNECT_TIMEOUT);
         try {
             DataInputStream in = Connection.input(socket);
             OutputStream out = Connection.output(socket);
-            Handshake.Peer peer = Handshake.open(in, out, self, key, numbers.incrementAndGet());
-            return new Connection(socket, in, out, peer, new Redialing());
+            Handshake.Peer peer = Handshake.open(in, out, self, key, connectionNumbers.incrementAndGet());
+            return new Connection(socket, in, out, peer, new RedialingListener());
         } catch (IOException | RuntimeException e) {
             Sockets.close(socket);
             throw e;
@@ -154,12 +154,12 @@
     }
 
     /** Waits for the next attempt; one that was made ahead of its time doesn't put those after it off. */
-    private void retry(boolean hurried) {
+    private void scheduleRetry(boolean hurried) {
         if (stopped) {
             return;
         }
         long jitter = ThreadLocalRandom.current().nextLong(delayMillis / 2 + 1);
-        dialSoon(Duration.ofMillis(delayMillis / 2 + jitter));
+        scheduleAttempt(Duration.ofMillis(delayMillis / 2 + jitter));
         if (!hurried) {
             delayMillis = Math.min(MAX_DELAY_MILLIS, delayMillis * 2);
         }
@@ -171,7 +171,7 @@
         return connection != null && connection.send(message);
     }
 
-    private final class Redialing implements Connection.Listener {
+    private final class RedialingListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
             listener.received(connection, message);
@@ -180,7 +180,7 @@
         @Override
         public void closed(Connection connection) {
             listener.closed(connection);
-            retry(false);
+            scheduleRetry(false);
         }
     }
 
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Handshake.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Handshake.java
@@ -21,10 +21,10 @@
  */
 final class Handshake {
     /** Version of the protocol between our processes. */
-    static final int PROTOCOL = 1;
+    static final int PROTOCOL_VERSION = 1;
 
     private static final int NONCE_BYTES = 16;
-    private static final int MAX_HANDSHAKE_FRAME = 1024;
+    private static final int MAX_HANDSHAKE_FRAME_BYTES = 1024;
     private static final String OPENER = "opener";
     private static final String ANSWERER = "answerer";
     private static final SecureRandom RANDOM = new SecureRandom();
@@ -48,7 +48,16 @@
     static Peer open(DataInputStream in, OutputStream out, Identity self, SiteKey key, long connection)
             throws IOException {
         byte[] nonce = nonce();
-        send(out, new Hello(PROTOCOL, self.role(), self.name(), self.zone(), self.incarnation(), connection, nonce));
+        send(
+                out,
+                new Hello(
+                        PROTOCOL_VERSION,
+                        self.role(),
+                        self.name(),
+                        self.zone(),
+                        self.incarnation(),
+                        connection,
+                        nonce));
         Challenge challenge = receive(in, Challenge.class);
         byte[] expected = key.proof(ANSWERER, challenge.incarnation(), nonce, challenge.nonce());
         if (!SiteKey.matches(expected, challenge.proof())) {
@@ -66,7 +75,10 @@
             checkVersion(hello.protocol());
             byte[] nonce = nonce();
             byte[] proof = key.proof(ANSWERER, self.incarnation(), hello.nonce(), nonce);
-            send(out, new Challenge(PROTOCOL, self.role(), self.name(), self.zone(), self.incarnation(), nonce, proof));
+            send(
+                    out,
+                    new Challenge(
+                            PROTOCOL_VERSION, self.role(), self.name(), self.zone(), self.incarnation(), nonce, proof));
             byte[] expected = key.proof(OPENER, hello.incarnation(), hello.nonce(), nonce);
             if (!SiteKey.matches(expected, receive(in, Proof.class).proof())) {
                 throw new WireException(Code.NOT_AUTHENTIC, "the opener holds another site key");
@@ -83,9 +95,9 @@
     }
 
     private static void checkVersion(int protocol) {
-        if (protocol != PROTOCOL) {
+        if (protocol != PROTOCOL_VERSION) {
             throw new WireException(
-                    Code.WRONG_VERSION, "protocol: this process speaks " + PROTOCOL + ", the peer " + protocol);
+                    Code.WRONG_VERSION, "protocol: this process speaks " + PROTOCOL_VERSION + ", the peer " + protocol);
         }
     }
 
@@ -95,7 +107,7 @@
     }
 
     private static <T extends Message> T receive(DataInputStream in, Class<T> type) throws IOException {
-        byte[] frame = FrameCodec.read(in, MAX_HANDSHAKE_FRAME);
+        byte[] frame = FrameCodec.read(in, MAX_HANDSHAKE_FRAME_BYTES);
         if (frame == null) {
             throw new WireException(Code.DISCONNECTED, "the peer hung up during the handshake");
         }
--- a/wire/src/main/java/org/quetzalseam/wire/connection/SiteKey.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/SiteKey.java
@@ -20,7 +20,7 @@
  */
 public final class SiteKey {
     private static final String ALGORITHM = "HmacSHA256";
-    private static final int MIN_LENGTH = 16;
+    private static final int MIN_BYTES = 16;
 
     private final SecretKeySpec key;
     private final boolean secret;
@@ -42,9 +42,9 @@
     /** Returns a key made from a text of at least 16 characters. */
     public static SiteKey of(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length < MIN_LENGTH) {
+        if (bytes.length < MIN_BYTES) {
             throw new WireException(
-                    Code.NOT_AUTHENTIC, "site key: expected at least " + MIN_LENGTH + " bytes, got " + bytes.length);
+                    Code.NOT_AUTHENTIC, "site key: expected at least " + MIN_BYTES + " bytes, got " + bytes.length);
         }
         return new SiteKey(bytes, true);
     }
@@ -55,7 +55,7 @@
     }
 
     /** Returns whether the key is a secret, so that a process may listen on other than loopback addresses. */
-    public boolean secret() {
+    public boolean isSecret() {
         return secret;
     }
 
--- a/wire/src/main/java/org/quetzalseam/wire/message/KeyUse.java
+++ b/wire/src/main/java/org/quetzalseam/wire/message/KeyUse.java
@@ -19,7 +19,7 @@
     }
 
     /** Returns whether there is a key. */
-    public boolean present() {
+    public boolean isPresent() {
         return !key.isEmpty();
     }
 }
--- a/wire/src/main/java/org/quetzalseam/wire/runtime/TimerService.java
+++ b/wire/src/main/java/org/quetzalseam/wire/runtime/TimerService.java
@@ -40,12 +40,12 @@
     /** Calls again and again, with {@code period} from the end of one call to the start of the next. */
     public Subscription every(Duration period, Runnable call) {
         return schedule(() -> executor.scheduleWithFixedDelay(
-                guarded(call), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS));
+                logFailures(call), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS));
     }
 
     /** Calls once, after the delay. */
     public Subscription after(Duration delay, Runnable call) {
-        return schedule(() -> executor.schedule(guarded(call), delay.toNanos(), TimeUnit.NANOSECONDS));
+        return schedule(() -> executor.schedule(logFailures(call), delay.toNanos(), TimeUnit.NANOSECONDS));
     }
 
     private static Subscription schedule(java.util.function.Supplier<ScheduledFuture<?>> scheduling) {
@@ -58,7 +58,7 @@
         }
     }
 
-    private static Runnable guarded(Runnable call) {
+    private static Runnable logFailures(Runnable call) {
         return () -> {
             try {
                 call.run();
--- a/wire/src/test/java/org/quetzalseam/wire/MessageCodecTest.java
+++ b/wire/src/test/java/org/quetzalseam/wire/MessageCodecTest.java
@@ -31,7 +31,7 @@
     private static final AttemptId ID = new AttemptId(-5, 77, 3);
 
     @Test
-    void messagesSurviveTheWayThroughTheCodec() {
+    void messagesAreEqualAfterEncodingAndDecoding() {
         List<Message> messages = List.of(
                 new Heartbeat(List.of(ID, ID.next()), 9, 12),
                 new HeartbeatAck(new Load(1, 2, 3, 4, 5, true), 5, 6),
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void fieldsThatAnOlderSenderLacksAreEmptyAndThoseOfANewerOneAreSkipped() throws IOException {
+    void componentsMissingFromAnOlderSenderAreEmptyAndThoseAddedByANewerOneAreSkipped() throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packInt(11).packArrayHeader(1);
             packer.packArrayHeader(7)
@@ -65,7 +65,7 @@
     }
 
     @Property(seed = "11", tries = 1000)
-    void noBytesMakeTheDecoderFailOtherThanByItsOwnError(@ForAll byte[] bytes) {
+    void anyBytesDecodeOrFailWithBadMessage(@ForAll byte[] bytes) {
         try {
             assertThat(MessageCodec.decode(bytes)).isNotNull();
         } catch (WireException e) {
@@ -74,7 +74,7 @@
     }
 
     @Property(seed = "12", tries = 300)
-    void damagedMessagesAreRefused(@ForAll int position, @ForAll byte value) {
+    void damagedMessagesDecodeOrFailWithBadMessage(@ForAll int position, @ForAll byte value) {
         byte[] bytes = MessageCodec.encode(new Outputs(ID, 4, List.of("abc", "def"), Load.unknown()));
         bytes[Math.floorMod(position, bytes.length)] = value;
         try {
@@ -93,13 +93,13 @@
     }
 
     @Test
-    void aFrameThatIsCutOffIsRefused() {
+    void aTruncatedFrameIsRefused() {
         byte[] cut = {0, 0, 0, 9, 1, 2};
         assertThatThrownBy(() -> read(cut)).hasMessageContaining("ended inside a frame");
     }
 
     @Test
-    void anEndBetweenFramesIsAnOrderlyEnd() throws IOException {
+    void theEndOfTheStreamBetweenFramesIsReturnedAsNull() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         FrameCodec.write(out, new byte[] {1});
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(out.toByteArray()));
@@ -108,6 +108,6 @@
     }
 
     private static void read(byte[] bytes) throws IOException {
-        FrameCodec.read(new DataInputStream(new ByteArrayInputStream(bytes)), FrameCodec.MAX_FRAME);
+        FrameCodec.read(new DataInputStream(new ByteArrayInputStream(bytes)), FrameCodec.MAX_FRAME_BYTES);
     }
 }
--- a/wire/src/test/java/org/quetzalseam/wire/connection/AcceptorStopTest.java
+++ b/wire/src/test/java/org/quetzalseam/wire/connection/AcceptorStopTest.java
@@ -20,8 +20,8 @@
     /** More than are greeted at a time, so that some wait. */
     private static final int PEERS = 40;
 
-    private static final Duration AT_ONCE = Duration.ofSeconds(1);
-    private static final Duration ACCEPTED = Duration.ofMillis(200);
+    private static final Duration CLOSE_LIMIT = Duration.ofSeconds(1);
+    private static final Duration ACCEPT_TIME = Duration.ofMillis(200);
 
     private final Acceptor acceptor = new Acceptor(
             "127.0.0.1",
@@ -29,7 +29,7 @@
             Identity.start(Role.ENDPOINT, "endpoint", "zone"),
             SiteKey.loopback(),
             Transport.plain(),
-            new Ignoring(),
+            new IgnoringListener(),
             connection -> {});
     private final List<Socket> peers = new ArrayList<>();
 
@@ -44,7 +44,7 @@
         peers.forEach(Sockets::close);
     }
 
-    private static final class Ignoring implements Connection.Listener {
+    private static final class IgnoringListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
             // Nothing is said here.
@@ -61,18 +61,18 @@
      * and never greeted kept it waiting for its own time limit, in which it couldn't tell whether the other is up.
      */
     @Test
-    void whoIsAcceptedAndNotYetGreetedLearnsOfTheStopAtOnce() throws IOException {
+    void aStopClosesAtOnceConnectionsThatHaveNotFinishedTheirHandshake() throws IOException {
         for (int i = 0; i < PEERS; i++) {
             Socket peer = new Socket(InetAddress.getLoopbackAddress(), acceptor.port());
-            peer.setSoTimeout((int) AT_ONCE.toMillis());
+            peer.setSoTimeout((int) CLOSE_LIMIT.toMillis());
             peers.add(peer);
         }
-        LockSupport.parkNanos(ACCEPTED.toNanos());
-        assertThat(acceptor.finish()).isCompleted();
-        assertThat(peers).allSatisfy(peer -> assertThat(ended(peer)).isTrue());
+        LockSupport.parkNanos(ACCEPT_TIME.toNanos());
+        assertThat(acceptor.stopGracefully()).isCompleted();
+        assertThat(peers).allSatisfy(peer -> assertThat(isClosed(peer)).isTrue());
     }
 
-    private static boolean ended(Socket peer) {
+    private static boolean isClosed(Socket peer) {
         try {
             while (peer.getInputStream().read() >= 0) {
                 // A greeting may have been sent before the stop.
--- a/wire/src/test/java/org/quetzalseam/wire/connection/ConnectionEndTest.java
+++ b/wire/src/test/java/org/quetzalseam/wire/connection/ConnectionCloseTest.java
@@ -20,15 +20,15 @@
 import org.quetzalseam.wire.message.Role;
 import org.quetzalseam.wire.runtime.TimerService;
 
-class ConnectionEndTest {
+class ConnectionCloseTest {
     private static final int MESSAGES = 400;
-    private static final int KEYS = 100;
-    private static final int ENDS = 300;
+    private static final int KEYS_PER_MESSAGE = 100;
+    private static final int CONNECTIONS = 300;
     /** What the end comes later by from one connection to the next, so that some of them are ended in the midst of a message. */
-    private static final long STEP_NANOS = 1_000;
+    private static final long CLOSE_DELAY_STEP_NANOS = 1_000;
 
     /** Message size times messages is some megabytes: more than the buffers between the two ends take. */
-    private static final Leaving LARGE = new Leaving(Collections.nCopies(KEYS, "k".repeat(300)));
+    private static final Leaving LARGE = new Leaving(Collections.nCopies(KEYS_PER_MESSAGE, "k".repeat(300)));
 
     private final TimerService timers = new TimerService("test");
     private final BlockingQueue<Connection> accepted = new LinkedBlockingQueue<>();
@@ -40,7 +40,7 @@
             Identity.start(Role.ENDPOINT, "endpoint", "zone"),
             SiteKey.loopback(),
             Transport.plain(),
-            new Ignoring(),
+            new IgnoringListener(),
             accepted::add);
 
     @BeforeEach
@@ -55,7 +55,7 @@
         timers.stop();
     }
 
-    private static final class Ignoring implements Connection.Listener {
+    private static final class IgnoringListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
             // What the peer says doesn't matter here.
@@ -68,7 +68,7 @@
     }
 
     /** Reads nothing until it may, as a peer beside load. */
-    private final class LateReader implements Dialer.Listener {
+    private final class DelayedListener implements Dialer.Listener {
         @Override
         public void opened(Connection connection) {
             // Nothing to prepare.
@@ -98,19 +98,19 @@
                 SiteKey.loopback(),
                 Transport.plain(),
                 timers,
-                new LateReader());
+                new DelayedListener());
         dialer.start();
         return dialer;
     }
 
     @Test
-    void aPeerThatReadsLateGetsAllThatWasSentBeforeTheConnectionWasEnded() throws Exception {
+    void aPeerThatReadsLateReceivesAllMessagesSentBeforeAGracefulClose() throws Exception {
         Dialer dialer = dial();
         Connection connection = accepted.poll(5, TimeUnit.SECONDS);
         for (int i = 0; i < MESSAGES; i++) {
             assertThat(connection.send(LARGE)).isTrue();
         }
-        CompletableFuture<Void> closed = acceptor.finish();
+        CompletableFuture<Void> closed = acceptor.stopGracefully();
         assertThat(connection.send(LARGE)).as("nothing is sent after the end").isFalse();
         dialer.send(LARGE);
         assertThat(closed).isNotDone();
@@ -121,20 +121,20 @@
     }
 
     @Test
-    void aPeerThatNeverReadsIsNotWaitedForByAStop() throws InterruptedException, ExecutionException {
+    void aStopDoesNotWaitForAPeerThatNeverReads() throws InterruptedException, ExecutionException {
         Dialer dialer = dial();
         Connection connection = accepted.poll(5, TimeUnit.SECONDS);
         for (int i = 0; i < MESSAGES; i++) {
             connection.send(LARGE);
         }
-        CompletableFuture<Void> closed = acceptor.finish();
+        CompletableFuture<Void> closed = acceptor.stopGracefully();
         long limit = Duration.ofMillis(200).toMillis();
         try {
             closed.get(limit, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             acceptor.stop();
         }
-        assertThat(connection.open()).isFalse();
+        assertThat(connection.isOpen()).isFalse();
         mayRead.countDown();
         dialer.stop();
     }
@@ -152,14 +152,14 @@
      * queued, took the end for one more message, and waited for the next. The entry went on asking there until the limit of six seconds.
      */
     @Test
-    void aConnectionThatIsEndedWhileItWritesEnds() throws Exception {
+    void aConnectionClosedGracefullyDuringAWriteIsClosed() throws Exception {
         mayRead.countDown();
-        for (int i = 0; i < ENDS; i++) {
+        for (int i = 0; i < CONNECTIONS; i++) {
             Dialer dialer = dial();
             Connection connection = accepted.poll(5, TimeUnit.SECONDS);
             connection.send(LARGE);
-            spin(i * STEP_NANOS);
-            connection.finish();
+            spin(i * CLOSE_DELAY_STEP_NANOS);
+            connection.closeGracefully();
             connection.whenClosed().get(2, TimeUnit.SECONDS);
             dialer.stop();
         }
--- a/wire/src/test/java/org/quetzalseam/wire/connection/DialerTest.java
+++ b/wire/src/test/java/org/quetzalseam/wire/connection/DialerTest.java
@@ -18,7 +18,7 @@
     private static final Message MESSAGE = new Leaving(List.of());
 
     private final TimerService timers = new TimerService("test");
-    private final CountDownLatch told = new CountDownLatch(1);
+    private final CountDownLatch opened = new CountDownLatch(1);
     private final CountDownLatch prepared = new CountDownLatch(1);
     private final CountDownLatch arrived = new CountDownLatch(1);
     private final Acceptor acceptor = new Acceptor(
@@ -27,7 +27,7 @@
             Identity.start(Role.ENDPOINT, "endpoint", "zone"),
             SiteKey.loopback(),
             Transport.plain(),
-            new Counting(),
+            new ArrivalListener(),
             connection -> {});
 
     @BeforeEach
@@ -42,7 +42,7 @@
         timers.stop();
     }
 
-    private final class Counting implements Connection.Listener {
+    private final class ArrivalListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
             arrived.countDown();
@@ -55,10 +55,10 @@
     }
 
     /** Takes its time to prepare for a new connection, as a listener's thread does beside load. */
-    private final class SlowToPrepare implements Dialer.Listener {
+    private final class SlowListener implements Dialer.Listener {
         @Override
         public void opened(Connection connection) {
-            told.countDown();
+            opened.countDown();
             try {
                 prepared.await();
             } catch (InterruptedException e) {
@@ -90,9 +90,9 @@
                 SiteKey.loopback(),
                 Transport.plain(),
                 timers,
-                new SlowToPrepare());
+                new SlowListener());
         dialer.start();
-        assertThat(told.await(LIMIT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(opened.await(LIMIT_SECONDS, TimeUnit.SECONDS)).isTrue();
         assertThat(dialer.send(MESSAGE)).isFalse();
         prepared.countDown();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
