--- a/daemon/src/main/java/org/quetzalseam/daemon/DaemonException.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/DaemonException.java
@@ -2,13 +2,13 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A fault that keeps a daemon from starting or from doing what it was asked. */
+/** Thrown when a daemon cannot start or cannot carry out a request. */
 public final class DaemonException extends RuntimeException {
-    /** What went wrong. */
+    /** Cause of the failure. */
     public enum Code {
-        /** The settings can't be used. */
+        /** The settings are invalid. */
         BAD_SETTINGS,
-        /** An address can't be listened on. */
+        /** The process cannot listen on an address. */
         CANNOT_LISTEN
     }
 
@@ -20,7 +20,7 @@
         this.code = code;
     }
 
-    /** Returns what went wrong. */
+    /** Returns the cause of the failure. */
     public Code code() {
         return code;
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/EntryDaemon.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/EntryDaemon.java
@@ -24,18 +24,18 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 /**
- * The entry role: holds callers' connections, routes their requests, and answers each of them once. Thread-safe.
+ * Runs the entry role: holds callers' connections, routes their requests, and answers each of them once. Thread-safe.
  *
- * <p>{@link #stop} is a planned stop: readiness goes first, running requests end. {@link #abort} drops everything at
- * once, as a crash would.
+ * <p>{@link #stop} is a planned stop: the entry first reports that it is not ready, then lets requests in progress end.
+ * {@link #abort} drops everything at once, as a crash would.
  */
 public final class EntryDaemon implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int REVIEW_RANK_COUNT = 8;
 
-    /** How often a starting entry looks whether it is prepared: a few times within a connection's opening. */
+    /** Interval of the checks for the catalogue and the endpoints at start: a few within the time that a connection takes to open. */
     private static final Duration READINESS_CHECK_INTERVAL = Duration.ofMillis(10);
-    /** How long it waits for that: several answers of a slow store; the balancer sends no callers meanwhile. */
+    /** Longest wait for them: enough for several responses of a slow store; the load balancer sends no callers meanwhile. */
     private static final Duration READINESS_TIMEOUT = Duration.ofMillis(1_500);
 
     private final Settings settings;
@@ -46,7 +46,7 @@
     private final OperatorServer operators;
     private final List<Service> watches;
 
-    /** Creates an entry with checked settings; {@link #start} starts it. */
+    /** Creates an entry with validated settings; {@link #start} starts it. */
     public EntryDaemon(Settings settings) {
         this.settings = settings;
         this.timers = new TimerService(settings.name());
@@ -80,12 +80,12 @@
     }
 
     /**
-     * Waits for the catalogue and for links to all listed endpoints: a caller served before that would be told that a service
-     * or the holder of its key can't be reached. Whatever hasn't come within the limit isn't waited for any longer.
+     * Waits for the catalogue and for connections to all listed endpoints, because a caller served earlier would get the error that
+     * a service or the holder of its key cannot be reached. After {@link #READINESS_TIMEOUT} the entry starts without what is missing.
      */
     private void awaitCatalogueAndEndpoints() {
         CompletableFuture<Void> prepared = new CompletableFuture<>();
-        TimerService.Subscription look = timers.every(READINESS_CHECK_INTERVAL, () -> {
+        TimerService.Subscription check = timers.every(READINESS_CHECK_INTERVAL, () -> {
             if (hasCatalogueAndEndpoints()) {
                 prepared.complete(null);
             }
@@ -99,9 +99,9 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("never completed with a failure", e);
+            throw new IllegalStateException("the readiness future is never completed with a failure", e);
         } finally {
-            look.cancel();
+            check.cancel();
         }
     }
 
@@ -125,12 +125,12 @@
         return inForce.version();
     }
 
-    /** Returns how many endpoints are on the list of VMs that the entry uses. */
+    /** Returns the number of endpoints on the list of VMs that the entry uses. */
     public int listedEndpoints() {
         return router.status().endpoints().size();
     }
 
-    /** Returns how many endpoints the entry is connected to. */
+    /** Returns the number of endpoints that the entry is connected to. */
     public int connectedEndpoints() {
         return (int) router.status().endpoints().stream()
                 .filter(EntryStatus.Peer::connected)
--- a/daemon/src/main/java/org/quetzalseam/daemon/HttpClients.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/HttpClients.java
@@ -4,9 +4,9 @@
 import java.time.Duration;
 import java.util.concurrent.CompletionException;
 
-/** Makes the JDK's HTTP clients, all with the same configuration. Thread-safe. */
+/** Creates JDK HTTP clients, all with the same configuration. Thread-safe. */
 public final class HttpClients {
-    /** How long a connection may take to be made: in it two lost opening packets are sent again. */
+    /** Timeout for opening a connection: long enough for two lost SYN packets to be retransmitted. */
     public static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
     private HttpClients() {}
@@ -20,7 +20,7 @@
                 .build();
     }
 
-    /** Returns what made an asynchronous call fail, without the wrapping that futures add. */
+    /** Returns the cause of a failed asynchronous call, without the {@link CompletionException} that futures wrap around it. */
     public static Throwable cause(Throwable failure) {
         Throwable cause = failure.getCause();
         return failure instanceof CompletionException && cause != null ? cause : failure;
--- a/daemon/src/main/java/org/quetzalseam/daemon/HttpServers.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/HttpServers.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.Executor;
 import org.quetzalseam.daemon.DaemonException.Code;
 
-/** Makes the JDK's HTTP servers, all with the same configuration. Stateless. */
+/** Creates JDK HTTP servers, all with the same configuration. Stateless. */
 public final class HttpServers {
     private static final int BACKLOG = 1024;
 
     static {
-        // Read once, when the JDK's server is first loaded.
+        // The JDK's server reads these properties once, when its classes are loaded.
         System.setProperty("sun.net.httpserver.nodelay", "true");
         System.setProperty("sun.net.httpserver.maxReqTime", "60");
         System.setProperty("sun.net.httpserver.maxReqHeaders", "100");
@@ -20,7 +20,7 @@
 
     private HttpServers() {}
 
-    /** Returns a server that listens, but answers only when it is started. Port 0 means any free one. */
+    /** Returns a server that listens, but answers only after it is started. Port 0 selects any free port. */
     public static HttpServer create(String host, int port, Executor executor) {
         try {
             HttpServer server = HttpServer.create(new InetSocketAddress(host, port), BACKLOG);
--- a/daemon/src/main/java/org/quetzalseam/daemon/Json.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/Json.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** JSON reading and writing with one configuration. Thread-safe. */
+/** Reads and writes JSON with one shared configuration. Thread-safe. */
 public final class Json {
     private static final int MAX_DEPTH = 64;
     private static final ObjectMapper MAPPER = mapper();
@@ -36,7 +36,7 @@
     /**
      * Reads a document.
      *
-     * @throws IOException when the bytes aren't one JSON document
+     * @throws IOException when the bytes are not one JSON document
      */
     public static JsonNode read(byte[] bytes) throws IOException {
         return MAPPER.readTree(bytes);
@@ -45,7 +45,7 @@
     /**
      * Reads a value of the given type.
      *
-     * @throws IOException when the bytes aren't such a value
+     * @throws IOException when the bytes are not such a value
      */
     public static <T> T read(byte[] bytes, Class<T> type) throws IOException {
         T value = MAPPER.readValue(bytes, type);
@@ -60,7 +60,7 @@
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not writable as JSON: " + value.getClass(), e);
+            throw new IllegalArgumentException("cannot be written as JSON: " + value.getClass(), e);
         }
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/LogSetup.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/LogSetup.java
@@ -8,14 +8,14 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sets up logging: one line of key=value pairs for each event, on standard error. Stateless. */
+/** Configures logging: one line of {@code key=value} pairs for each event, on standard error. Stateless. */
 public final class LogSetup {
     private static final String ROOT = "org.quetzalseam";
     private static final Logger LOGGER = Logger.getLogger(ROOT);
 
     private LogSetup() {}
 
-    /** Sends all log events of the given level and above to standard error. */
+    /** Writes all log events of the given level and above to standard error. */
     public static void toStandardError(Level level) {
         Logger root = Logger.getLogger("");
         for (Handler handler : root.getHandlers()) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/Main.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/Main.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code quetzalseamd}: runs a daemon until it is told to stop. */
+/** The command {@code quetzalseamd}: runs a daemon until a signal stops it. */
 @Command(
         name = "quetzalseamd",
         description = "Runs one process of quetzalseam.",
@@ -49,7 +49,7 @@
         return CommandLine.ExitCode.USAGE;
     }
 
-    /** What both roles have in common. */
+    /** Base of the subcommands: reads the settings and runs the daemon of a role. */
     abstract static class RoleCommand implements Callable<Integer> {
         @Option(
                 names = "--settings",
@@ -102,13 +102,14 @@
             Service daemon = daemon(settings);
             daemon.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            // The JVM exits when this hook returns, so all that must end first ends in it.
+            // The JVM exits when this hook returns, so everything that must end before the exit ends in the hook.
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
                                 daemon.stop();
                                 stopped.countDown();
-                                // The JVM would end with the signal's number, as if the stop had failed.
+                                // Otherwise the JVM's exit status would be derived from the signal, as if the stop had
+                                // failed.
                                 Runtime.getRuntime().halt(CommandLine.ExitCode.OK);
                             },
                             "stop"));
--- a/daemon/src/main/java/org/quetzalseam/daemon/ProcessSecurity.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/ProcessSecurity.java
@@ -8,17 +8,17 @@
 import org.quetzalseam.wire.connection.SiteKey;
 import org.quetzalseam.wire.connection.Transport;
 
-/** Makes the means by which processes know each other from their settings. Stateless. */
+/** Creates the site key and the transport, by which processes authenticate each other, from their settings. Stateless. */
 public final class ProcessSecurity {
     private ProcessSecurity() {}
 
-    /** Returns the site's key, or the one for loopback when the settings name none. */
+    /** Returns the site's key, or the key for loopback when the settings name no file. */
     public static SiteKey siteKey(Security security) {
         Path file = security.siteKeyFile();
         return file == null ? SiteKey.loopback() : SiteKey.read(file);
     }
 
-    /** Returns TLS when the settings name a key store, else plain TCP. */
+    /** Returns TLS when the settings name a key store and its password file, else plain TCP. */
     public static Transport transport(Security security) {
         Path keyStore = security.keyStoreFile();
         Path password = security.keyStorePasswordFile();
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/AnswerFormat.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/AnswerFormat.java
@@ -5,15 +5,15 @@
 import org.quetzalseam.daemon.Json;
 import org.quetzalseam.daemon.entry.RequestId;
 
-/** The JSON form of answers. Implementations are stateless. */
+/** Formats answers as JSON. Implementations are stateless. */
 interface AnswerFormat {
-    /** Returns one event of a stream; the finish reason is null in all but the last. */
+    /** Returns one event of a stream; the finish reason is null in all events but the last. */
     ObjectNode event(RequestId id, String model, String text, @Nullable String finishReason);
 
-    /** Returns a whole answer. */
+    /** Returns a complete answer. */
     ObjectNode complete(RequestId id, String model, String text, String finishReason);
 
-    /** Returns the form of plain completions. */
+    /** Returns the format of plain completions. */
     static AnswerFormat plain() {
         return new AnswerFormat() {
             @Override
@@ -34,7 +34,7 @@
         };
     }
 
-    /** Returns the form of chat completions. */
+    /** Returns the format of chat completions. */
     static AnswerFormat chat() {
         return new AnswerFormat() {
             @Override
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/BodyReader.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/BodyReader.java
@@ -7,11 +7,11 @@
 import org.quetzalseam.wire.runtime.TimerService;
 import org.quetzalseam.wire.runtime.TimerService.Subscription;
 
-/** Reads request bodies within bounds of size and time. Thread-safe. */
+/** Reads request bodies within limits of size and time. Thread-safe. */
 final class BodyReader {
-    /** Longest body accepted, in bytes. */
+    /** Size of the longest accepted body, in bytes. */
     static final int MAX_BYTES = 2 << 20;
-    /** How much more is taken before a refusal, so that a caller can't keep an entry busy for nothing. */
+    /** Limit of what is read and discarded of a body that is too large, so that a caller cannot keep an entry busy without end. */
     private static final long MAX_DISCARDED_BYTES = 8L * MAX_BYTES;
 
     private static final int CHUNK_BYTES = 1 << 16;
@@ -31,7 +31,7 @@
         this.timeout = time;
     }
 
-    /** Returns the body. A body that is too large or too slow is refused. */
+    /** Returns the body, or refuses one that is too large or arrives too slowly. */
     byte[] read(HttpExchange exchange) throws IOException {
         InputStream in = exchange.getRequestBody();
         ReadTimeout limit = new ReadTimeout(exchange, Thread.currentThread());
@@ -46,7 +46,7 @@
             return body;
         } catch (IOException e) {
             if (limit.finish()) {
-                throw new IOException("the body was too slow", e);
+                throw new IOException("the body did not arrive in time", e);
             }
             throw CallerException.notRetryable(Statuses.BAD_REQUEST, "bad-body", "the body could not be read");
         } finally {
@@ -55,18 +55,18 @@
         }
     }
 
-    /** Takes what the caller is still sending: closing a connection with unread bytes would lose the refusal on its way. */
+    /** Reads what the caller is still sending, because closing a connection with unread bytes may discard the error response in transit. */
     private static void discardRest(InputStream in) throws IOException {
-        byte[] piece = new byte[CHUNK_BYTES];
-        long left = MAX_DISCARDED_BYTES;
-        int read = in.read(piece);
-        while (read >= 0 && left > 0) {
-            left -= read;
-            read = in.read(piece);
+        byte[] chunk = new byte[CHUNK_BYTES];
+        long remaining = MAX_DISCARDED_BYTES;
+        int read = in.read(chunk);
+        while (read >= 0 && remaining > 0) {
+            remaining -= read;
+            read = in.read(chunk);
         }
     }
 
-    /** Ends a read that takes too long. Interrupting the reader closes its connection; closing the exchange would wait. */
+    /** Ends a read that takes too long by interrupting its thread, which closes the connection; closing the exchange would block. */
     private static final class ReadTimeout {
         private final HttpExchange exchange;
         private final Thread reader;
@@ -86,7 +86,7 @@
             }
         }
 
-        /** Ends the watch and returns whether the limit was reached. */
+        /** Ends the timeout and returns whether it has expired. Clears the interrupt that it caused. */
         synchronized boolean finish() {
             finished = true;
             if (interrupted) {
@@ -106,7 +106,7 @@
             exchange.getResponseBody().write(body);
             exchange.getResponseBody().flush();
         } catch (IOException ignored) {
-            // The caller is gone: there is nobody to tell.
+            // The caller has disconnected, so the error cannot be delivered.
         }
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerException.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerException.java
@@ -4,7 +4,7 @@
 import org.quetzalseam.core.attempt.Outcome;
 import org.quetzalseam.daemon.entry.RunResult;
 
-/** Ends a request with an error answer. Carries no stack trace, for it is no fault of the program. */
+/** Ends a request with an error response. Has no stack trace, because it does not report a fault of the program. */
 final class CallerException extends RuntimeException {
     private final int status;
     private final String code;
@@ -22,17 +22,17 @@
         this.retryAfterMillis = retryAfterMillis;
     }
 
-    /** Returns the error for a request that is wrong in itself: sending it again doesn't help. */
+    /** Returns the error for an invalid request, which a retry cannot help. */
     static CallerException notRetryable(int status, String code, String message) {
         return new CallerException(status, code, message, Outcome.NOT_RUN, false, 0);
     }
 
-    /** Returns the error for a request that may be sent again later. */
+    /** Returns the error for a request that may be retried after the given time. */
     static CallerException retryable(int status, String code, String message, long retryAfterMillis) {
         return new CallerException(status, code, message, Outcome.NOT_RUN, true, retryAfterMillis);
     }
 
-    /** Returns the error for a request that was not answered. */
+    /** Returns the error for a run that ended without a complete answer. */
     static CallerException of(RunResult result) {
         return new CallerException(
                 status(result),
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Returns the same error for a request with an idempotency key. This process can't tell whether an earlier request
-     * with the key has run, so it doesn't say that it has not.
+     * Returns the same error for a request with an idempotency key. This process cannot know whether an earlier request
+     * with the key has run, so it does not report the outcome {@code not-run}.
      */
     CallerException forKeyedRequest() {
         return outcome == Outcome.NOT_RUN
@@ -81,7 +81,7 @@
         return retrySafe;
     }
 
-    /** Returns the value of the {@code Retry-After} header in seconds, if there is to be one. */
+    /** Returns the value of the {@code Retry-After} header in seconds, rounded up, or nothing if the header is to be omitted. */
     Optional<Long> retryAfterSeconds() {
         long millisPerSecond = 1000;
         return retryAfterMillis <= 0
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerServer.java
@@ -22,18 +22,18 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 /**
- * The callers' HTTP interface of an entry: completions, the list of models, and plain services. Thread-safe. Each request
- * has a thread of its own until it is answered.
+ * The callers' HTTP interface of an entry: completions, the list of models, and plain services. Each request has a thread
+ * of its own until it is answered. Thread-safe.
  */
 public final class CallerServer implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int MAX_THREADS = 4_000;
     private static final long THREAD_IDLE_SECONDS = 10;
 
-    /** Answers one kind of request. */
+    /** Handles one kind of request. */
     @FunctionalInterface
     interface Handler {
-        /** Answers a request, or throws what the caller is to be told instead. */
+        /** Answers a request, or throws the error for the caller. */
         void handle(HttpExchange exchange, RequestId id) throws IOException;
     }
 
@@ -45,7 +45,7 @@
     private boolean closed;
     private int inFlight;
 
-    /** Creates a server on the given address, listening but not yet answering. */
+    /** Creates a server that listens on the given address, but answers only after {@link #start}. */
     public CallerServer(
             Listen listen, CatalogueInForce inForce, Metrics metrics, TimerService timers, EntryRouter router) {
         this.router = router;
@@ -94,7 +94,7 @@
         server.start();
     }
 
-    /** Returns the port that is listened on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return server.getAddress().getPort();
     }
@@ -149,8 +149,9 @@
     }
 
     /**
-     * Stops as planned: says that it isn't ready, goes on for a while until balancers have seen it, refuses new requests
-     * as not run, and returns when the running ones have ended or the limit is reached.
+     * Drains the server for a planned stop. Reports that it is not ready, still accepts requests for {@code lameDuck} so that load
+     * balancers can notice, then refuses new requests as not run. Returns when the requests in progress have ended, at the
+     * latest after {@code limit}.
      */
     public void drain(Duration lameDuck, Duration limit) {
         long end = System.nanoTime() + lameDuck.toNanos();
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/ChunkedResponse.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/ChunkedResponse.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.io.OutputStream;
 
-/** A response of unknown length that is begun once and written piece by piece. Used by one thread. */
+/** A response of unknown length that is started once and written in chunks. Used by one thread. */
 final class ChunkedResponse {
     private final HttpExchange exchange;
     private final String contentType;
@@ -19,7 +19,7 @@
         return started;
     }
 
-    /** Sends the status and the headers, and then the first bytes. Returns false when the caller is gone. */
+    /** Sends the status, the headers and the first bytes, unless done already. Returns false when the caller has disconnected. */
     boolean start(byte[] first) {
         if (started) {
             return true;
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Sends bytes at once. Returns false when the caller is gone. */
+    /** Writes and flushes bytes. Returns false when the caller has disconnected. */
     boolean write(byte[] bytes) {
         try {
             OutputStream out = exchange.getResponseBody();
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/CompletionHandler.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/CompletionHandler.java
@@ -16,7 +16,7 @@
 import org.quetzalseam.daemon.entry.RunResult;
 import org.quetzalseam.daemon.operator.Metrics;
 
-/** Answers requests for completions. Thread-safe. */
+/** Handles requests for completions. Thread-safe. */
 final class CompletionHandler {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int AFFINITY_CHARS = 1024;
@@ -84,18 +84,22 @@
                 .modelEntry(owner.name(), model.name(), prompt.tokens())
                 .orElseThrow(() -> admittance.notInCatalogue(
                         Statuses.FORBIDDEN, "no-entry", "the owner has no catalogue entry for this model"));
-        int longest = entry.limits().promptTokens();
-        if (prompt.tokens() > longest) {
+        int maxTokens = entry.limits().promptTokens();
+        if (prompt.tokens() > maxTokens) {
             throw CallerException.notRetryable(
-                    Statuses.CONTENT_TOO_LARGE, "prompt-too-long", "the prompt is longer than " + longest + " tokens");
+                    Statuses.CONTENT_TOO_LARGE,
+                    "prompt-too-long",
+                    "the prompt is longer than " + maxTokens + " tokens");
         }
-        int most = entry.limits().outputTokens();
-        if (prompt.maxTokens() > most) {
+        int maxOutputTokens = entry.limits().outputTokens();
+        if (prompt.maxTokens() > maxOutputTokens) {
             throw CallerException.notRetryable(
-                    Statuses.BAD_REQUEST, "too-many-tokens", "max_tokens: expected at most " + most);
+                    Statuses.BAD_REQUEST,
+                    "too-many-tokens",
+                    "max_tokens: expected at most " + maxOutputTokens);
         }
-        int outputs = prompt.maxTokens() == 0 ? most : prompt.maxTokens();
-        String beginning = prompt.text()
+        int outputs = prompt.maxTokens() == 0 ? maxOutputTokens : prompt.maxTokens();
+        String prefix = prompt.text()
                 .substring(0, Math.min(AFFINITY_CHARS, prompt.text().length()));
         return new CompletionRequest(
                 id,
@@ -104,7 +108,7 @@
                 owner.weight(),
                 prompt.tokens(),
                 outputs,
-                Rendezvous.hash(beginning),
+                Rendezvous.hash(prefix),
                 admittance.deadlineMillis(exchange, NO_DEADLINE_MILLIS),
                 prompt.engineBody(outputs));
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/ErrorReply.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/ErrorReply.java
@@ -9,13 +9,13 @@
 import org.quetzalseam.daemon.entry.RequestId;
 
 /**
- * The error answers of one exchange, and its end. Once the answer has begun, an error can only be told within it, so this
- * class then says nothing more. Used by one thread.
+ * Sends the error response of one exchange and closes the exchange. Once an answer has been started, an error can only be reported
+ * within it, so this class then sends nothing. Used by one thread.
  */
 final class ErrorReply implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int NOT_COMMITTED = -1;
-    /** How much of an unread body the JDK's server takes after an answer to keep the connection. */
+    /** How much of an unread body the JDK's server drains after a response in order to keep the connection open. */
     private static final long MAX_DRAINED_BYTES = 64 << 10;
 
     private final HttpExchange exchange;
@@ -54,7 +54,7 @@
         write(error.status(), body(error, id));
     }
 
-    /** Says that something unforeseen happened, and nothing of what it was. */
+    /** Reports an unexpected failure without disclosing any details. */
     void internal() {
         write(
                 Statuses.INTERNAL_ERROR,
@@ -62,15 +62,15 @@
     }
 
     /**
-     * Returns whether the request's body may be longer than what the server reads of it after an answer. It then closes the
-     * connection, and a caller that isn't told so sends its next request into the closing.
+     * Returns whether the request's body may be longer than what the server drains after a response. If it is, the server closes the
+     * connection, and a caller that has not been informed by a header would send its next request on the closing connection.
      */
     private boolean mayHaveUnreadBody() {
         String length = CallerServer.header(exchange, "Content-Length");
         if (length == null) {
             return CallerServer.header(exchange, "Transfer-Encoding") != null;
         }
-        // The server refuses a length that is no number before it hands a request over.
+        // The JDK's server rejects a length that is not a number before it calls a handler.
         return Long.parseLong(length.trim()) > MAX_DRAINED_BYTES;
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/JsonAnswer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/JsonAnswer.java
@@ -8,8 +8,8 @@
 import org.quetzalseam.daemon.entry.RunResult;
 
 /**
- * An answer as one JSON document. The response is begun when the request is admitted; white space before the document
- * finds out if the caller is still there. After that an error can only be told in the document.
+ * Writes an answer as one JSON document. The response is started when the request is admitted; white space before the document
+ * probes whether the caller is still connected. Once the response is started, an error can only be reported in the document.
  */
 final class JsonAnswer implements CallerAnswer {
     private static final byte[] SPACE = {' '};
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/Prompt.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/Prompt.java
@@ -7,17 +7,17 @@
 import org.quetzalseam.daemon.Json;
 
 /**
- * What a caller asks of a model. Immutable.
+ * A caller's completion request. Immutable.
  *
  * @param model name of the model
  * @param text the prompt
  * @param tokens estimated length of the prompt, in tokens
- * @param maxTokens most tokens to generate, 0 when the caller doesn't say
+ * @param maxTokens largest number of tokens to generate, 0 when the caller sets none
  * @param stream whether the answer is to be streamed
- * @param fields all fields of the request
+ * @param fields all fields of the request's JSON body
  */
 record Prompt(String model, String text, int tokens, int maxTokens, boolean stream, JsonNode fields) {
-    /** Characters that make up one token, on average. */
+    /** Average number of characters of one token. */
     private static final int CHARS_PER_TOKEN = 4;
 
     static Prompt plain(byte[] body) {
@@ -96,7 +96,7 @@
         return CallerException.notRetryable(Statuses.BAD_REQUEST, "bad-request", message);
     }
 
-    /** Returns the request for the engine: all the caller's fields, with the prompt as one text. */
+    /** Returns the request body for the engine: all of the caller's fields, with the prompt as one text. */
     byte[] engineBody(int outputTokens) {
         ObjectNode body = Json.object();
         for (Map.Entry<String, JsonNode> field : fields.properties()) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/RequestAdmission.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/RequestAdmission.java
@@ -14,11 +14,11 @@
 import org.quetzalseam.daemon.entry.EntryRouter;
 import org.quetzalseam.daemon.operator.Metrics;
 
-/** Decides who a caller is and whether its request is within the limits of its catalogue entry. Thread-safe. */
+/** Authenticates callers and checks their requests against the limits of their catalogue entries. Thread-safe. */
 final class RequestAdmission {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final String IN_DOUBT = "catalogue-in-doubt";
-    /** When to come back to an entry that is out of reach of the store: it asks about once a second. */
+    /** Retry delay reported by an entry that cannot reach the store: the entry polls the store about once a second. */
     private static final long IN_DOUBT_RETRY_MILLIS = 2_000;
 
     private static final String BEARER = "Bearer ";
@@ -26,7 +26,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long CONCURRENCY_RETRY_MILLIS = 1_000;
 
-    /** How long a caller of an entry that has just started is kept until it has read its catalogue: some answers of the store. */
+    /** Longest wait of a caller until an entry that has just started has read its catalogue: the time of several store responses. */
     private static final Duration FIRST_CATALOGUE_TIMEOUT = Duration.ofMillis(800);
 
     private final CatalogueInForce inForce;
@@ -45,7 +45,7 @@
         return inForce.current().catalogue();
     }
 
-    /** Returns the owner whose token the request carries. */
+    /** Returns the owner whose token the request carries, or throws the error for the caller. */
     OwnerSpec owner(HttpExchange exchange) {
         if (!inForce.awaitFirst(FIRST_CATALOGUE_TIMEOUT)) {
             throw CallerException.retryable(
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Returns the error for a request that the catalogue doesn't provide for. What this process lacks may have been added since it last
-     * heard of the store: then it can't know, and doesn't deny it.
+     * Returns the error for a request that names something absent from the catalogue. When this process may have missed a change since
+     * the last response of the store, the error states that the catalogue is in doubt instead of denying that the name exists.
      */
     CallerException notInCatalogue(int status, String code, String message) {
         long now = System.nanoTime();
@@ -80,7 +80,7 @@
                 Statuses.UNAVAILABLE, IN_DOUBT, "this entry can't know whether " + message, IN_DOUBT_RETRY_MILLIS);
     }
 
-    /** Returns the time that the caller allows, in milliseconds, or the default. */
+    /** Returns the time that the caller allows for the request, in milliseconds, or the default. */
     long deadlineMillis(HttpExchange exchange, long fallback) {
         String header = CallerServer.header(exchange, "X-Request-Deadline-Ms");
         if (header == null) {
@@ -92,7 +92,7 @@
                 return millis;
             }
         } catch (NumberFormatException expected) {
-            // Reported below, in the same words as a number out of bounds.
+            // Reported below with the message for a number out of bounds.
         }
         throw CallerException.notRetryable(
                 Statuses.BAD_REQUEST,
@@ -100,18 +100,18 @@
                 "X-Request-Deadline-Ms: expected milliseconds from 1 to " + MAX_DEADLINE_MILLIS);
     }
 
-    /** Returns the caller's idempotency key, if there is one. */
+    /** Returns the caller's idempotency key, if the request has one. */
     Optional<String> idempotencyKey(HttpExchange exchange) {
         Optional<String> key = Optional.ofNullable(CallerServer.header(exchange, "Idempotency-Key"));
-        int longest = 255;
-        if (key.isPresent() && (key.get().isBlank() || key.get().length() > longest)) {
+        int maxLength = 255;
+        if (key.isPresent() && (key.get().isBlank() || key.get().length() > maxLength)) {
             throw CallerException.notRetryable(
-                    Statuses.BAD_REQUEST, "bad-header", "Idempotency-Key: expected 1 to " + longest + " characters");
+                    Statuses.BAD_REQUEST, "bad-header", "Idempotency-Key: expected 1 to " + maxLength + " characters");
         }
         return key;
     }
 
-    /** Counts a request in, or refuses it. What was counted in must be counted out by {@link #release}. */
+    /** Counts a request towards the limits of its entry, or refuses it. Each admitted request needs one {@link #release}. */
     void admit(EntrySpec entry) {
         long now = System.nanoTime();
         Verdict verdict = limiter.enter(entry, router.entryCount(), now);
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/ServiceHandler.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/ServiceHandler.java
@@ -20,7 +20,7 @@
 import org.quetzalseam.daemon.service.HttpServiceClient;
 import org.quetzalseam.wire.message.Answer;
 
-/** Answers requests below {@code /services/}. Thread-safe. */
+/** Handles requests below {@code /services/}. Thread-safe. */
 final class ServiceHandler {
     private static final long DEFAULT_DEADLINE_MILLIS = 30_000;
     private static final int NO_CONTENT = 204;
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/Statuses.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/Statuses.java
@@ -1,6 +1,6 @@
 package org.quetzalseam.daemon.caller;
 
-/** The HTTP statuses in use, by their standard names. */
+/** The HTTP status codes in use, by their standard names. */
 final class Statuses {
     static final int OK = 200;
     static final int BAD_REQUEST = 400;
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/StreamedAnswer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/StreamedAnswer.java
@@ -8,7 +8,7 @@
 import org.quetzalseam.daemon.entry.RequestId;
 import org.quetzalseam.daemon.entry.RunResult;
 
-/** An answer as server-sent events, ended by {@code data: [DONE]}. A comment finds out if the caller is still there. */
+/** Writes an answer as server-sent events, ended by {@code data: [DONE]}. Comments probe whether the caller is still connected. */
 final class StreamedAnswer implements CallerAnswer {
     private static final byte[] COMMENT = ": waiting\n\n".getBytes(StandardCharsets.US_ASCII);
 
@@ -50,7 +50,7 @@
             throw CallerException.of(result);
         }
         if (result.outcome() != Outcome.ANSWERED) {
-            // Without the closing [DONE], so that no client takes the answer for a whole one.
+            // Omits the closing [DONE], so that no client takes the answer for a complete one.
             event(ErrorReply.body(CallerException.of(result), id));
             return;
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/TimingSink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/TimingSink.java
@@ -5,7 +5,7 @@
 import org.quetzalseam.core.catalogue.Targets;
 import org.quetzalseam.daemon.entry.AnswerSink;
 
-/** Passes outputs on and notes when they came. Used by one thread. */
+/** Forwards outputs to another sink and records the times of their arrival. Used by one thread. */
 final class TimingSink implements AnswerSink {
     private final AnswerSink sink;
     private final long arrived;
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/package-info.java
@@ -1,4 +1,4 @@
-/** The caller as a peer: the HTTP interface. */
+/** The HTTP interface for callers. */
 @NullMarked
 package org.quetzalseam.daemon.caller;
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueException.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueException.java
@@ -2,15 +2,15 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A catalogue change that could not be made or read. */
+/** Thrown when a catalogue cannot be read or changed. */
 public final class CatalogueException extends RuntimeException {
-    /** What went wrong. */
+    /** Cause of the failure. */
     public enum Code {
-        /** Another change came first, or is being reviewed. */
+        /** Another change was accepted first, or is being reviewed. */
         CONFLICT,
-        /** The store holds something that isn't a catalogue, or lacks a text that a manifest names. */
+        /** An object in the store is not valid, or a text that a manifest names is missing from the store. */
         BROKEN,
-        /** The store can't be reached: nothing is known of the change. */
+        /** The store cannot be reached: it is unknown whether the change took effect. */
         UNAVAILABLE
     }
 
@@ -22,7 +22,7 @@
         this.code = code;
     }
 
-    /** Returns what went wrong. */
+    /** Returns the cause of the failure. */
     public Code code() {
         return code;
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueStore.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueStore.java
@@ -18,11 +18,11 @@
 import org.quetzalseam.daemon.platform.StoredObject;
 
 /**
- * The catalogue's objects in the platform's store. Thread-safe.
+ * Reads and writes the catalogue's objects in the platform's store. Thread-safe.
  *
  * <p>{@code accepted} and {@code proposal} hold manifests, {@code verdict} the last refusal, and {@code file-DIGEST} the
  * text with that digest, which never changes. Only a conditional update of {@code accepted} puts a change in force, so
- * two reviewers, or a reviewer that reads stale data, can't do harm.
+ * concurrent reviewers, or a reviewer that reads stale data, cannot put a wrong change in force.
  */
 public final class CatalogueStore {
     /** Name of the object that holds the manifest in force. */
@@ -35,19 +35,19 @@
     private static final String FILE_PREFIX = "file-";
 
     /**
-     * A value of the store together with the version that a conditional update must name; 0 when there is no object yet.
+     * A value of the store together with the version that a conditional update must name.
      *
      * @param value the value
-     * @param storeVersion the store's version
+     * @param storeVersion the store's version, 0 when there is no object yet
      * @param <T> type of the value
      */
     public record Versioned<T>(T value, long storeVersion) {}
 
     private final ObjectStore store;
-    /** The texts of the manifest last loaded, by digest: a text never changes, so only new ones are read. */
+    /** Texts of the last loaded manifest by digest. Texts never change, so only those missing here are read from the store. */
     private volatile Map<String, String> loaded = Map.of();
 
-    /** Creates a view of the catalogue in a store. */
+    /** Creates a client of the catalogue in the given store. */
     public CatalogueStore(ObjectStore store) {
         this.store = store;
     }
@@ -57,12 +57,12 @@
         return manifest(store.read(ACCEPTED));
     }
 
-    /** Returns the manifest last proposed. */
+    /** Returns the last proposed manifest. */
     public Versioned<Manifest> proposal() {
         return manifest(store.read(PROPOSAL));
     }
 
-    /** Waits for a manifest object to change and returns it, or nothing when the wait is over. */
+    /** Waits for a manifest object to change and returns it, or nothing when the wait times out. */
     public Optional<Versioned<Manifest>> watch(String name, long storeVersion, Duration wait) {
         return store.watch(name, storeVersion, wait).map(object -> manifest(Optional.of(object)));
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Writes a manifest or verdict on the condition that the object hasn't changed since it was read. */
+    /** Writes a manifest or verdict on condition that the object has not changed since it was read. */
     private void write(String name, Object value, long storeVersion) {
         byte[] bytes = Json.write(value);
         if (storeVersion == 0) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Stores the texts of a catalogue; texts that are there already are left as they are. */
+    /** Stores those texts of a catalogue that the store does not have yet. Returns the digests of all texts by file name. */
     public Map<String, String> storeFiles(Map<String, String> files) {
         Map<String, String> digests = new HashMap<>();
         files.forEach((name, text) -> {
@@ -116,7 +116,7 @@
         try {
             store.create(name, text.getBytes(StandardCharsets.UTF_8));
         } catch (StoreException e) {
-            // Another writer stored the same text, or the answer was lost after the write took effect.
+            // Another writer may have stored the same text, or the response was lost after the write took effect.
             if (e.code() == StoreException.Code.REFUSED || store.read(name).isEmpty()) {
                 throw e;
             }
@@ -151,11 +151,11 @@
     /**
      * Proposes a change on top of an accepted version.
      *
-     * @param files the whole new catalogue
-     * @param base the accepted version that the change was made from
-     * @param author who makes it
+     * @param files the complete new catalogue: texts by file name
+     * @param base the accepted version that the change is based on
+     * @param author who makes the change
      * @return the proposed manifest
-     * @throws CatalogueException with {@code CONFLICT} when another change came first or is being reviewed
+     * @throws CatalogueException with {@code CONFLICT} when another change was accepted first or is being reviewed
      */
     public Manifest propose(Map<String, String> files, long base, String author) {
         Manifest accepted = accepted().value();
@@ -166,30 +166,30 @@
                             + accepted.author() + "' is in force",
                     null);
         }
-        Versioned<Manifest> earlier = proposal();
-        boolean undecided = earlier.value().version() > accepted.version()
-                && verdict().value().writer() != earlier.value().writer();
+        Versioned<Manifest> previous = proposal();
+        boolean undecided = previous.value().version() > accepted.version()
+                && verdict().value().writer() != previous.value().writer();
         if (undecided) {
             throw new CatalogueException(
-                    Code.CONFLICT, "a change by '" + earlier.value().author() + "' is being reviewed", null);
+                    Code.CONFLICT, "a change by '" + previous.value().author() + "' is being reviewed", null);
         }
         long writer = ThreadLocalRandom.current().nextLong();
         Manifest proposal = new Manifest(base + 1, writer, author, storeFiles(files));
-        writeOnce(PROPOSAL, proposal, earlier.storeVersion());
+        writeOnce(PROPOSAL, proposal, previous.storeVersion());
         return proposal;
     }
 
-    /** Puts a reviewed manifest in force, if {@code accepted} still is what the review was based on. */
+    /** Puts a reviewed manifest in force, provided that {@code accepted} has not changed since the review read it. */
     public void accept(Manifest manifest, long storeVersion) {
         writeOnce(ACCEPTED, manifest, storeVersion);
     }
 
-    /** Notes why a proposal was refused. */
+    /** Stores the reasons why a proposal was refused. */
     public void refuse(Verdict verdict, long storeVersion) {
         write(VERDICT, verdict, storeVersion);
     }
 
-    /** Writes a manifest; when the answer is lost, looks whether the write took effect before giving up. */
+    /** Writes a manifest. After a conflict or a lost response, reads the object to find out whether the write took effect. */
     private void writeOnce(String name, Manifest manifest, long storeVersion) {
         try {
             write(name, manifest, storeVersion);
--- a/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueWatch.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueWatch.java
@@ -10,8 +10,8 @@
 import org.quetzalseam.wire.runtime.Service;
 
 /**
- * Follows the accepted manifest in the platform's store and puts each newer catalogue in force. Through an outage it
- * keeps asking, and the process goes on with what is in force. Thread-safe.
+ * Watches the accepted manifest in the platform's store and puts each newer catalogue in force. During an outage of the store it
+ * keeps retrying, and the process continues with the catalogue in force. Thread-safe.
  */
 public final class CatalogueWatch implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -21,7 +21,7 @@
     private final WatchLoop loop;
     private long storeVersion;
 
-    /** Creates a watch that offers what it reads to {@code inForce}. */
+    /** Creates a watch that offers the catalogues it reads to {@code inForce}. */
     public CatalogueWatch(CatalogueStore store, CatalogueInForce inForce, String processName) {
         this.store = store;
         this.inForce = inForce;
@@ -53,14 +53,14 @@
         storeVersion = read.storeVersion();
     }
 
-    /** The store has lost a version that was accepted, as after a restore from a backup: it is written again. */
+    /** Writes the catalogue in force back to a store that has lost it, such as after a restore from a backup. */
     private void restore(Versioned<Manifest> read) {
-        Accepted ours = inForce.current();
-        store.storeFiles(ours.files());
-        store.accept(ours.manifest(), read.storeVersion());
+        Accepted current = inForce.current();
+        store.storeFiles(current.files());
+        store.accept(current.manifest(), read.storeVersion());
         logger.atWarning().log(
                 "event=catalogue-restored version=%d store_had=%d",
-                ours.manifest().version(), read.value().version());
+                current.manifest().version(), read.value().version());
     }
 
     @Override
--- a/daemon/src/main/java/org/quetzalseam/daemon/catalogue/Digests.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/catalogue/Digests.java
@@ -2,7 +2,7 @@
 
 import org.apache.commons.codec.digest.DigestUtils;
 
-/** SHA-256 digests in hexadecimal. Stateless. */
+/** Computes SHA-256 digests in hexadecimal. Stateless. */
 public final class Digests {
     private Digests() {}
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/catalogue/ProposalReview.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/catalogue/ProposalReview.java
@@ -13,9 +13,9 @@
 import org.quetzalseam.wire.runtime.Service;
 
 /**
- * Reviews proposals: a sound one is put in force, another is refused with its problems. Every entry may run this; the
- * conditional updates let only one of them succeed. Each waits a little by its rank, so that usually only one acts.
- * Thread-safe.
+ * Reviews proposed catalogues: puts a valid one in force and refuses an invalid one with its problems. Every entry may run a review,
+ * because conditional updates let only one of them succeed. Each delays its review in proportion to its rank, so that usually only
+ * one acts. Thread-safe.
  */
 public final class ProposalReview implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -31,7 +31,7 @@
      * Creates a review.
      *
      * @param store the catalogue's objects
-     * @param rank this process's place among the reviewers, from 0
+     * @param rank this process's position among the reviewers, from 0
      * @param processName the process's name
      */
     public ProposalReview(CatalogueStore store, int rank, String processName) {
@@ -55,7 +55,7 @@
         storeVersion = proposal.storeVersion();
     }
 
-    /** Decides on a proposal, unless it has been decided already. */
+    /** Accepts or refuses a proposal, unless it has been decided already. */
     void review(Manifest proposal) {
         Versioned<Manifest> accepted = store.accepted();
         if (proposal.version() != accepted.value().version() + 1) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/catalogue/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/catalogue/package-info.java
@@ -1,4 +1,4 @@
-/** The way of a catalogue change: proposed, reviewed, accepted, in force. */
+/** Catalogue changes: they are proposed, reviewed, accepted and put in force through the platform's store. */
 @NullMarked
 package org.quetzalseam.daemon.catalogue;
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/operator/Metrics.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/operator/Metrics.java
@@ -13,10 +13,10 @@
 import org.quetzalseam.core.attempt.Outcome;
 
 /**
- * What a process measures, in Prometheus form. Thread-safe.
+ * Collects the metrics of a process and exports them in the Prometheus text format. Thread-safe.
  *
  * <p>Histograms and counters are kept for each owner and class. Owners come from the catalogue; beyond a fixed number of
- * them the rest share one label, so that the number of series stays bounded.
+ * owners all others share one label, so that the number of time series stays bounded.
  */
 public final class Metrics {
     private static final int MAX_OWNERS = 500;
@@ -50,23 +50,23 @@
                 .register(registry);
     }
 
-    /** Notes the time from a request's arrival to its first output. */
+    /** Records the time from a request's arrival to its first output. */
     public void firstOutput(String owner, WorkClass workClass, Duration time) {
         timer("quetzalseam.first.output", FIRST_OUTPUT_BUCKETS, owner, workClass)
                 .record(time);
     }
 
-    /** Notes the mean time between the later outputs of one request. */
+    /** Records the mean time between consecutive outputs of one request. */
     public void steadyOutput(String owner, WorkClass workClass, Duration time) {
         timer("quetzalseam.steady.output", STEADY_BUCKETS, owner, workClass).record(time);
     }
 
-    /** Notes the time that a request waited to be admitted. */
+    /** Records the time that a request waited to be admitted. */
     public void queueWait(String owner, WorkClass workClass, Duration time) {
         timer("quetzalseam.queue.wait", FIRST_OUTPUT_BUCKETS, owner, workClass).record(time);
     }
 
-    /** Counts a request's outcome, and whether it met both latency targets. */
+    /** Counts a request by its outcome and by whether it met its latency targets. */
     public void outcome(String owner, WorkClass workClass, Outcome outcome, boolean good) {
         Counter.builder("quetzalseam.requests")
                 .tag("owner", ownerLabel(owner))
@@ -77,7 +77,7 @@
                 .increment();
     }
 
-    /** Counts a refusal by its reason, which must come from a fixed set. */
+    /** Counts a refusal by its reason. Reasons must come from a fixed set, since each is a label value. */
     public void refusal(String reason) {
         Counter.builder("quetzalseam.refusals")
                 .tag("reason", reason)
@@ -85,7 +85,7 @@
                 .increment();
     }
 
-    /** Counts prefilled prompt tokens, and whether the result was discarded before use. */
+    /** Counts prefilled prompt tokens by whether the result was discarded before use. */
     public void prefilled(int tokens, boolean wasted) {
         Counter.builder("quetzalseam.prefill.tokens")
                 .tag("wasted", Boolean.toString(wasted))
@@ -93,7 +93,7 @@
                 .increment(tokens);
     }
 
-    /** Counts retries. */
+    /** Counts a retry by its reason. */
     public void retry(String reason) {
         Counter.builder("quetzalseam.retries")
                 .tag("reason", reason)
@@ -101,12 +101,12 @@
                 .increment();
     }
 
-    /** Shows a value that is read when the metrics are. */
+    /** Registers a gauge whose value is read at each scrape. */
     public void gauge(String name, Supplier<Number> value) {
         Gauge.builder(name, value).register(registry);
     }
 
-    /** Returns all metrics in the Prometheus text form. */
+    /** Returns all metrics in the Prometheus text format. */
     public String scrape() {
         return registry.scrape();
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/operator/OperatorServer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/operator/OperatorServer.java
@@ -28,15 +28,15 @@
     private static final int UNAVAILABLE = 503;
     private static final String EXPLAIN_QUERY = "request=";
 
-    /** What the interface shows of a process. Implementations are thread-safe. */
+    /** Provides the state of a process for the interface. Implementations are thread-safe. */
     public interface Source {
-        /** Returns whether the process takes new work. */
+        /** Returns whether the process accepts new work. */
         boolean ready();
 
-        /** Returns the state of the process, to be shown as JSON. */
+        /** Returns the state of the process, to be written as JSON. */
         Object status();
 
-        /** Returns why a request was treated as it was, to be shown as JSON, if the process remembers it. */
+        /** Returns the recorded decisions on a request, to be written as JSON, if the process still has them. */
         Optional<Object> explain(String requestId);
     }
 
@@ -47,7 +47,7 @@
     private final ExecutorService executor;
     private volatile @Nullable HttpServer server;
 
-    /** Creates an interface on an address; port 0 means any free one. */
+    /** Creates an interface on an address; port 0 selects any free port. */
     public OperatorServer(String host, int port, Metrics metrics, Source source) {
         this.host = host;
         this.port = port;
@@ -69,7 +69,7 @@
         server = created;
     }
 
-    /** Returns the port that is listened on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         HttpServer started = server;
         if (started == null) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/operator/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/operator/package-info.java
@@ -1,4 +1,4 @@
-/** The operator as a peer: health, metrics, status and explanations over HTTP. */
+/** The HTTP interface for operators: health, metrics, status and explanations. */
 @NullMarked
 package org.quetzalseam.daemon.operator;
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/package-info.java
@@ -1,4 +1,4 @@
-/** The daemon {@code quetzalseamd}. */
+/** The daemon {@code quetzalseamd}: its command, the entry role, and helpers that its packages share. */
 @NullMarked
 package org.quetzalseam.daemon;
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/HttpObjectStore.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/HttpObjectStore.java
@@ -23,12 +23,12 @@
 import org.quetzalseam.wire.message.Vm;
 
 /**
- * The platform's store over HTTP and JSON: {@code GET}, {@code POST} and {@code PUT} of objects that carry a
- * {@code metadata.resourceVersion}, and a watch that answers when the version changes. A store that has come back from an older
- * copy gives versions out again: to its callers a version is the number of a position, era and revision. Thread-safe.
+ * A client of the platform's store over HTTP and JSON: {@code GET}, {@code POST} and {@code PUT} of objects that carry a
+ * {@code metadata.resourceVersion}, and a watch that returns when the version changes. A store restored from an older copy issues
+ * the same resource versions again, so the versions that this class returns encode a {@link StorePosition}: era and revision. Thread-safe.
  */
 public final class HttpObjectStore implements ObjectStore {
-    /** How long an answer may take beyond the wait that a call asks for. */
+    /** How long a response may take beyond the wait that a call requests. */
     public static final Duration TIMEOUT = Duration.ofSeconds(3);
 
     private static final int OK = 200;
@@ -63,7 +63,8 @@
             boolean success = response.statusCode() < SERVER_ERROR;
             era.update(response.headers().firstValue(StoreEraTracker.HEADER), success);
             if (!success) {
-                throw new StoreException(Code.UNAVAILABLE, "the store answered " + response.statusCode(), null);
+                throw new StoreException(
+                        Code.UNAVAILABLE, "the store responded with status " + response.statusCode(), null);
             }
             return response;
         } catch (IOException e) {
@@ -91,7 +92,7 @@
         try {
             return Json.read(response.body());
         } catch (IOException e) {
-            throw new StoreException(Code.UNAVAILABLE, "the store's answer isn't JSON", e);
+            throw new StoreException(Code.UNAVAILABLE, "the store's response is not JSON", e);
         }
     }
 
@@ -111,7 +112,9 @@
         return switch (response.statusCode()) {
             case OK -> Optional.of(object(response));
             case NO_CONTENT, NOT_FOUND -> Optional.empty();
-            default -> throw new StoreException(Code.REFUSED, "the store answered " + response.statusCode(), null);
+            default ->
+                throw new StoreException(
+                        Code.REFUSED, "the store responded with status " + response.statusCode(), null);
         };
     }
 
@@ -124,16 +127,17 @@
 
     @Override
     public StoredObject replace(String name, byte[] value, long version) {
-        StorePosition condition = StorePosition.ofNumber(version);
-        if (condition.era() != era.newest()) {
-            // Its revision may name what another has written since.
-            throw new StoreException(Code.CONFLICT, "the store came back from an older copy", null);
+        StorePosition expected = StorePosition.ofNumber(version);
+        if (expected.era() != era.newest()) {
+            // In the new era the revision may belong to a later write by another process.
+            throw new StoreException(Code.CONFLICT, "the store was restored from an older copy", null);
         }
         StoredObject written = written(send(request(objectPath(name), TIMEOUT)
-                .PUT(BodyPublishers.ofByteArray(body(name, value, condition.revision())))
+                .PUT(BodyPublishers.ofByteArray(body(name, value, expected.revision())))
                 .build()));
-        if (StorePosition.ofNumber(written.version()).era() != condition.era()) {
-            throw new StoreException(Code.UNAVAILABLE, "the store came back from an older copy meanwhile", null);
+        if (StorePosition.ofNumber(written.version()).era() != expected.era()) {
+            throw new StoreException(
+                    Code.UNAVAILABLE, "the store was restored from an older copy during the write", null);
         }
         return written;
     }
@@ -142,7 +146,9 @@
         return switch (response.statusCode()) {
             case OK, CREATED -> object(response);
             case CONFLICT -> throw new StoreException(Code.CONFLICT, "the object has changed", null);
-            default -> throw new StoreException(Code.REFUSED, "the store answered " + response.statusCode(), null);
+            default ->
+                throw new StoreException(
+                        Code.REFUSED, "the store responded with status " + response.statusCode(), null);
         };
     }
 
@@ -158,8 +164,9 @@
                 .GET()
                 .build());
         if (response.statusCode() == NOT_FOUND && version != 0) {
-            // It was there, and the store answers without waiting: the caller is to pause before it looks again.
-            throw new StoreException(Code.REFUSED, "the object is gone", null);
+            // The object existed, and the store answers without waiting: the failure makes the caller pause before it
+            // retries.
+            throw new StoreException(Code.REFUSED, "the object no longer exists", null);
         }
         return response.statusCode() == GONE ? read(name) : found(response);
     }
@@ -174,7 +181,7 @@
             return members(0, Duration.ZERO);
         }
         if (response.statusCode() != OK) {
-            throw new StoreException(Code.REFUSED, "the store answered " + response.statusCode(), null);
+            throw new StoreException(Code.REFUSED, "the store responded with status " + response.statusCode(), null);
         }
         JsonNode node = json(response);
         List<Vm> vms = new ArrayList<>();
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/MemberList.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/MemberList.java
@@ -4,9 +4,9 @@
 import org.quetzalseam.wire.message.Vm;
 
 /**
- * The platform's list of VMs. It lags behind what happens. Immutable.
+ * The platform's list of VMs, which lags behind the actual state of the VMs. Immutable.
  *
- * @param version rises with each change of the list, also over returns of the store from an older copy
+ * @param version increases with each change of the list, also across restores of the store from an older copy
  * @param vms the VMs
  */
 public record MemberList(long version, List<Vm> vms) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/StoreEraTracker.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/StoreEraTracker.java
@@ -7,8 +7,8 @@
 import org.quetzalseam.daemon.platform.StoreException.Code;
 
 /**
- * The era of the store's answers: 0 at first, it rises by one each time the store comes back from an older copy. A store that states
- * none has one era. Thread-safe.
+ * Tracks the era of the store's responses. The era starts at 0 and increases by one each time the store is restored from an older copy.
+ * A store that sends no era header has a single era. Thread-safe.
  */
 final class StoreEraTracker {
     static final String HEADER = "Store-Era";
@@ -18,12 +18,12 @@
     private long newest = StorePosition.NO_ERA;
     private boolean stated;
 
-    /** Returns the newest era that an answer has stated. */
+    /** Returns the newest era that a response has stated. */
     synchronized long newest() {
         return newest;
     }
 
-    /** Returns the era of an answer that has been taken. */
+    /** Returns the era of a response that {@link #update} has accepted. */
     static long of(HttpResponse<?> answer) {
         return answer.headers().firstValue(HEADER).map(StoreEraTracker::parse).orElse(StorePosition.NO_ERA);
     }
@@ -37,16 +37,16 @@
     }
 
     /**
-     * Takes what an answer says of its era.
+     * Updates the newest era from a response.
      *
-     * @param header the header's value
-     * @param success whether the answer brings what was asked for; others may come from before the store and say nothing
-     * @throws StoreException if the answer can't be used: what it shows or did may be gone
+     * @param header value of the response's era header
+     * @param success false for a server error, which may come from a proxy before the store and lack the header
+     * @throws StoreException if the response cannot be used, because the state that it shows or wrote may no longer exist
      */
     synchronized void update(Optional<String> header, boolean success) {
         if (header.isEmpty()) {
             if (stated && success) {
-                throw unusable("missing", "expected it, as in earlier answers");
+                throw unusable("missing", "expected the header, as in earlier responses");
             }
             return;
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/StoreException.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/StoreException.java
@@ -2,15 +2,15 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A call to the platform's store that did not succeed. */
+/** Thrown when a call to the platform's store fails. */
 public final class StoreException extends RuntimeException {
-    /** What went wrong. */
+    /** Cause of the failure. */
     public enum Code {
-        /** The object has changed, or exists already: nothing was written. */
+        /** The object has changed or already exists: nothing was written. */
         CONFLICT,
         /** The store refused the call as malformed: nothing was written. */
         REFUSED,
-        /** The store can't be reached or gave no answer: a write may or may not have taken effect. */
+        /** The store cannot be reached or did not respond: a write may or may not have taken effect. */
         UNAVAILABLE
     }
 
@@ -22,7 +22,7 @@
         this.code = code;
     }
 
-    /** Returns what went wrong. */
+    /** Returns the cause of the failure. */
     public Code code() {
         return code;
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/WatchLoop.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/WatchLoop.java
@@ -10,16 +10,17 @@
 import org.quetzalseam.wire.runtime.Threads;
 
 /**
- * Follows something in the platform's store on a thread of its own: round after round, each of which waits in the store.
- * After a round that failed it pauses, with jitter, and asks for an answer at once; an outage ends nothing. Thread-safe.
+ * Watches an object or a list in the platform's store on a thread of its own, by repeated long polls.
+ * After a failed poll it pauses, with jitter, and then polls without waiting; an outage does not end the loop. Thread-safe.
  *
- * <p>Open connections may go silent for good while new ones work. The wait is so short that a change is in force in time after two
- * silent connections in a row.
+ * <p>Open connections may stay unresponsive for good while new ones work. The wait of a poll is short enough for a change to be in
+ * force in time even after two unresponsive connections in a row.
  */
 public final class WatchLoop implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+    /** Shortest pause after a failed poll; jitter adds up to the same time again. */
     private static final long MIN_RETRY_MILLIS = 500;
-    /** How long a round waits for something new. */
+    /** How long a poll waits in the store for a change. */
     private static final Duration POLL_WAIT = Duration.ofSeconds(5);
 
     private final String name;
@@ -30,12 +31,12 @@
     /**
      * Creates a loop.
      *
-     * @param name appears in logs and as the thread's name
-     * @param round is told how long to wait for something new
+     * @param name name of the thread, also written to logs
+     * @param poll polls once; its argument is how long to wait for a change
      */
-    public WatchLoop(String name, Consumer<Duration> round) {
+    public WatchLoop(String name, Consumer<Duration> poll) {
         this.name = name;
-        this.poll = round;
+        this.poll = poll;
         this.thread = Threads.daemon(name, this::run);
     }
 
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Lets time pass in a round; returns early when the loop is stopped. */
+    /** Sleeps within a poll; returns early when the loop is stopped. */
     public void pause(long millis) {
         try {
             if (stopped.await(millis, TimeUnit.MILLISECONDS)) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/package-info.java
@@ -1,4 +1,4 @@
-/** The platform as a peer: its object store and its list of VMs. */
+/** Clients of the platform: its object store and its list of VMs. */
 @NullMarked
 package org.quetzalseam.daemon.platform;
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/settings/Settings.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/settings/Settings.java
@@ -7,16 +7,16 @@
 import org.quetzalseam.wire.message.Role;
 
 /**
- * The checked settings of one process. Immutable. {@link SettingsReader} makes them from INI text.
+ * The validated settings of one process. Immutable. {@link SettingsReader} reads them from INI text.
  *
- * @param role what the process does
+ * @param role the role that the process runs
  * @param name its name, the same as its VM's in the platform's list
  * @param zone its availability zone
  * @param listen addresses and ports
  * @param platformUrl base address of the platform's store
- * @param seeds other processes to ask for the site's state while the store is down
- * @param security how processes know each other
- * @param backend what an endpoint stands before; not used by entries
+ * @param seeds other processes to ask for the site's state while the store is unavailable
+ * @param security how processes authenticate each other
+ * @param backend the back end that an endpoint serves; not used by entries
  * @param policy choice of policies
  * @param timing intervals and limits of time
  */
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Addresses and ports. Port 0 means any free one.
+     * Addresses and ports. Port 0 selects any free port.
      *
      * @param host IP address to listen on
      * @param port port for callers (entry) or for entries (endpoint)
@@ -54,9 +54,9 @@
     public record Seed(String host, int port) {}
 
     /**
-     * How processes know each other.
+     * How processes authenticate each other.
      *
-     * @param siteKeyFile file with the site's key, or null to talk over loopback only
+     * @param siteKeyFile file with the site's key, or null to communicate over loopback only
      * @param keyStoreFile PKCS #12 file for TLS, or null for plain TCP
      * @param keyStorePasswordFile file with its password, or null
      */
@@ -65,7 +65,7 @@
             @Nullable Path keyStoreFile,
             @Nullable Path keyStorePasswordFile) {}
 
-    /** What an endpoint stands before. */
+    /** Kind of the back end that an endpoint serves. */
     public enum BackendKind {
         /** An engine that prefills. */
         PREFILL,
@@ -76,29 +76,29 @@
     }
 
     /**
-     * What an endpoint stands before.
+     * The back end that an endpoint serves.
      *
-     * @param kind kind of back end
+     * @param kind kind of the back end
      * @param url its base address
-     * @param places attempts it can run at once
-     * @param shortReserve places that long work can't take
-     * @param checksOrders whether the engine itself refuses orders with an old fencing number
+     * @param places number of attempts that it can run concurrently
+     * @param shortReserve number of places reserved for short work
+     * @param checksOrders whether the engine itself refuses orders with an outdated fencing token
      */
     public record Backend(BackendKind kind, String url, int places, int shortReserve, boolean checksOrders) {}
 
     /** How an entry chooses endpoints. */
     public enum PlacementPolicy {
-        /** Each in its turn: the baseline. */
+        /** Each endpoint in rotation: the baseline. */
         ROUND_ROBIN,
-        /** The least backlog. */
+        /** The endpoint with the least backlog. */
         LEAST_BACKLOG,
-        /** The better of two drawn at random. */
+        /** The better of two endpoints chosen at random. */
         TWO_CHOICES,
-        /** Where the prompt's beginning was last seen, unless that endpoint is much busier than others. */
+        /** The endpoint that last served the prompt's prefix, unless it is much busier than others. */
         PREFIX_AFFINITY
     }
 
-    /** In what order an entry asks for decode memory and prefill. */
+    /** Order in which an entry requests decode memory and prefill. */
     public enum BookingOrder {
         /** Decode memory is booked first. */
         BEFORE_PREFILL,
@@ -106,19 +106,19 @@
         AFTER_PREFILL
     }
 
-    /** In what order an endpoint serves waiting work. */
+    /** Order in which an endpoint serves queued work. */
     public enum QueueOrder {
-        /** Fair among owners, short before long. */
+        /** Fair among owners, short work before long. */
         FAIR,
         /** In order of arrival: the baseline. */
         FIFO
     }
 
-    /** Whether an endpoint turns work away early. */
+    /** Whether an endpoint refuses work early. */
     public enum Shedding {
-        /** What would surely wait longer than it may is refused at once. */
+        /** Refuses work at once if its predicted wait certainly exceeds its limit. */
         PREDICTED,
-        /** Only a full queue and an exceeded wait refuse work. */
+        /** Refuses work only when the queue is full or the wait has exceeded its limit. */
         NONE
     }
 
@@ -127,8 +127,8 @@
      *
      * @param placement how an entry chooses endpoints
      * @param booking when an entry books decode memory
-     * @param queue in what order an endpoint serves waiting work
-     * @param shedding whether an endpoint turns work away early
+     * @param queue order in which an endpoint serves queued work
+     * @param shedding whether an endpoint refuses work early
      * @param longWindow share of a decode endpoint's places that long work may hold while it waits for its prefill, 0 to 1
      * @param bookAhead share of the places expected to become free that a decode endpoint books in advance, 0 to 1
      */
@@ -143,10 +143,10 @@
     /**
      * Intervals and limits of time.
      *
-     * @param heartbeat interval of an entry's heartbeats
+     * @param heartbeat interval between an entry's heartbeats
      * @param lease how long an endpoint keeps an attempt without a heartbeat
-     * @param lameDuck how long an entry that stops still takes requests after it has said that it isn't ready
-     * @param drain longest time a planned stop waits for running work
+     * @param lameDuck how long a stopping entry still accepts requests after it has reported that it is not ready
+     * @param drain longest time that a planned stop waits for work in progress
      * @param keyRetention how long an idempotency key is remembered
      */
     public record Timing(
--- a/daemon/src/main/java/org/quetzalseam/daemon/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/settings/SettingsReader.java
@@ -25,7 +25,7 @@
 import org.quetzalseam.wire.message.Role;
 
 /**
- * Reads settings from INI text and finds all faults at once. Stateless.
+ * Reads settings from INI text and reports all problems together. Stateless.
  *
  * <p>Example: {@code SettingsReader.read(Role.ENTRY, "entry.ini", text).settings()}.
  */
@@ -40,10 +40,10 @@
     private SettingsReader() {}
 
     /**
-     * What was read, and all that is wrong with it.
+     * The settings that were read, and all problems with them.
      *
-     * @param settings the settings; only to be used when there are no problems
-     * @param problems everything that is wrong
+     * @param settings the settings; only valid when there are no problems
+     * @param problems all problems found
      */
     public record Result(Settings settings, List<Problem> problems) {}
 
@@ -68,7 +68,7 @@
         return new Result(settings, document.problems());
     }
 
-    /** Hands out sections, empty ones for those that the file lacks, and finally reports what nobody asked for. */
+    /** Provides sections, empty ones for those that the file lacks, and finally reports sections and keys that were never read. */
     private static final class Sections {
         private final IniDocument document;
         private final Map<String, IniSection> present;
@@ -165,7 +165,7 @@
                 return share;
             }
         } catch (NumberFormatException expected) {
-            // Reported below, in the same words as a number out of bounds.
+            // Reported below with the message for a number out of bounds.
         }
         section.report(key, "expected a number from 0 to 1, got '" + text.get() + "'");
         return fallback;
--- a/daemon/src/main/java/org/quetzalseam/daemon/settings/package-info.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings of one process, read from INI. */
+/** Settings of one process, read from INI text. */
 @NullMarked
 package org.quetzalseam.daemon.settings;
 
--- a/daemon/src/test/java/org/quetzalseam/daemon/catalogue/CatalogueWatchTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/catalogue/CatalogueWatchTest.java
@@ -17,9 +17,9 @@
 import org.quetzalseam.daemon.platform.StoredObject;
 
 class CatalogueWatchTest {
-    /** Time in which a change is to be in force everywhere. */
+    /** Time within which a change must be in force everywhere. */
     private static final Duration MAX_TIME_TO_IN_FORCE = Duration.ofSeconds(14);
-    /** Longest pause after a call that failed. */
+    /** Longest pause after a failed call. */
     private static final Duration MAX_RETRY_PAUSE = Duration.ofSeconds(1);
 
     private final UnresponsiveStore store = new UnresponsiveStore();
@@ -30,8 +30,9 @@
         watch.stop();
     }
 
-    // Guards against a change that is late as its watch waits at a connection that has gone silent, and then at a
-    // second one.
+    // Guards against a change that takes effect too late because its watch waits on an unresponsive connection, and
+    // then
+    // on a second one.
     @Test
     void aChangeIsInForceInTimeAfterTwoUnresponsiveConnectionsInARow() throws InterruptedException {
         watch.start();
@@ -41,7 +42,7 @@
         assertThat(silent.plus(silentAgain)).isLessThanOrEqualTo(MAX_TIME_TO_IN_FORCE);
     }
 
-    /** Answers the first watch with nothing new; the time that the others take to fail isn't waited for. */
+    /** Answers the first watch without a change and fails the others at once, without the time that a real timeout takes. */
     private static final class UnresponsiveStore implements ObjectStore {
         private final BlockingQueue<Duration> waits = new LinkedBlockingQueue<>();
         private boolean answered;
--- a/daemon/src/test/java/org/quetzalseam/daemon/platform/RestoredObjectStoreTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/platform/RestoredObjectStoreTest.java
@@ -36,19 +36,19 @@
         assertThat(store.create("a", value(2)).version()).isGreaterThan(before);
     }
 
-    /** The version that the watch names is there again, with another content. */
+    /** The watched version exists again after the restore, with different content. */
     @Test
     void aWatchFromAVersionOfThePreviousEraIsAnsweredAtOnce() throws Exception {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
         new HttpObjectStore(platform.url()).create("a", value(2));
-        // Any answer of the new era will do.
+        // Any response of the new era informs the client.
         assertThat(store.read("b")).isEmpty();
         assertThat(watched(before)).containsExactly(2);
     }
 
-    /** As above, and the watch is the first that hears of the new era. */
+    /** The response to the watch is the first that states the new era. */
     @Test
     void aWatchThatWaitsDuringARestoreReturnsTheRestoredObject() throws Exception {
         store.create("a", value(1));
@@ -83,7 +83,7 @@
         assertThat(other.read("a").orElseThrow().value()).containsExactly(2);
     }
 
-    /** Nobody had told the writer of the new era: the write took effect, but not on what it was meant for. */
+    /** The writer did not know of the new era: the write took effect, but on another object state than the one it was meant for. */
     @Test
     void aWriteAnsweredInALaterEraThanItsConditionHasAnUnknownOutcome() {
         PlatformStandIn.Copy copy = platform.copy();
@@ -107,7 +107,7 @@
         assertThat(now.vms()).hasSize(1);
     }
 
-    /** Such a watch is answered at once, each time; a follower that took it for a wait that is over would ask without pause. */
+    /** The store answers such a watch at once each time, so a loop that took this for an expired wait would poll without pause. */
     @Test
     void aWatchOfAnObjectMissingFromTheRestoredCopyFails() {
         PlatformStandIn.Copy copy = platform.copy();
