--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/CompletionHandler.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/CompletionHandler.java
@@ -94,9 +94,7 @@
         int maxOutputTokens = entry.limits().outputTokens();
         if (prompt.maxTokens() > maxOutputTokens) {
             throw CallerException.notRetryable(
-                    Statuses.BAD_REQUEST,
-                    "too-many-tokens",
-                    "max_tokens: expected at most " + maxOutputTokens);
+                    Statuses.BAD_REQUEST, "too-many-tokens", "max_tokens: expected at most " + maxOutputTokens);
         }
         int outputs = prompt.maxTokens() == 0 ? maxOutputTokens : prompt.maxTokens();
         String prefix = prompt.text()
