--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerServer.java
@@ -154,29 +154,29 @@
      * latest after {@code limit}.
      */
     public void drain(Duration lameDuck, Duration limit) {
-        long end = System.nanoTime() + lameDuck.toNanos();
+        long deadlineNanos = System.nanoTime() + lameDuck.toNanos();
         synchronized (lock) {
             ready = false;
-            await(end, false);
+            await(deadlineNanos, false);
             closed = true;
-            end = System.nanoTime() + limit.toNanos();
-            await(end, true);
+            deadlineNanos = System.nanoTime() + limit.toNanos();
+            await(deadlineNanos, true);
             if (inFlight > 0) {
                 logger.atWarning().log("event=drain-incomplete left=%d", inFlight);
             }
         }
     }
 
-    private void await(long end, boolean untilIdle) {
-        long left = end - System.nanoTime();
-        while (left > 0 && !(untilIdle && inFlight == 0)) {
+    private void await(long deadlineNanos, boolean untilIdle) {
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        while (remainingNanos > 0 && !(untilIdle && inFlight == 0)) {
             try {
-                TimeUnit.NANOSECONDS.timedWait(lock, left);
+                TimeUnit.NANOSECONDS.timedWait(lock, remainingNanos);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             }
-            left = end - System.nanoTime();
+            remainingNanos = deadlineNanos - System.nanoTime();
         }
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/JsonAnswer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/JsonAnswer.java
@@ -19,7 +19,7 @@
     private final String model;
     private final AnswerFormat format;
     private final StringBuilder text = new StringBuilder();
-    private long probedAt;
+    private long probedAtNanos;
 
     JsonAnswer(HttpExchange exchange, RequestId id, String model, AnswerFormat format) {
         this.response = new ChunkedResponse(exchange, "application/json");
@@ -30,21 +30,21 @@
 
     @Override
     public boolean admitted() {
-        probedAt = System.nanoTime();
+        probedAtNanos = System.nanoTime();
         return response.start(SPACE);
     }
 
     @Override
     public boolean probe() {
-        probedAt = System.nanoTime();
+        probedAtNanos = System.nanoTime();
         return response.write(SPACE);
     }
 
     @Override
     public boolean output(String output) {
         text.append(output);
-        long interval = 250_000_000;
-        return System.nanoTime() - probedAt < interval || probe();
+        long probeIntervalNanos = 250_000_000;
+        return System.nanoTime() - probedAtNanos < probeIntervalNanos || probe();
     }
 
     @Override
--- a/daemon/src/test/java/org/quetzalseam/daemon/catalogue/CatalogueWatchTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/catalogue/CatalogueWatchTest.java
@@ -37,9 +37,11 @@
     void aChangeIsInForceInTimeAfterTwoUnresponsiveConnectionsInARow() throws InterruptedException {
         watch.start();
         store.nextWait();
-        Duration silent = store.nextWait().plus(HttpObjectStore.TIMEOUT).plus(MAX_RETRY_PAUSE);
-        Duration silentAgain = store.nextWait().plus(HttpObjectStore.TIMEOUT).plus(MAX_RETRY_PAUSE);
-        assertThat(silent.plus(silentAgain)).isLessThanOrEqualTo(MAX_TIME_TO_IN_FORCE);
+        Duration firstUnresponsive =
+                store.nextWait().plus(HttpObjectStore.TIMEOUT).plus(MAX_RETRY_PAUSE);
+        Duration secondUnresponsive =
+                store.nextWait().plus(HttpObjectStore.TIMEOUT).plus(MAX_RETRY_PAUSE);
+        assertThat(firstUnresponsive.plus(secondUnresponsive)).isLessThanOrEqualTo(MAX_TIME_TO_IN_FORCE);
     }
 
     /** Answers the first watch without a change and fails the others at once, without the time that a real timeout takes. */
