--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/JsonAnswer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/JsonAnswer.java
@@ -8,8 +8,8 @@
 import org.quetzalseam.daemon.entry.RunResult;
 
 /**
- * An answer as one JSON document. The response is begun when the request is admitted; white space before the document
- * finds out if the caller is still there. After that an error can only be told in the document.
+ * Writes an answer as one JSON document. The response is started when the request is admitted; white space before the document
+ * probes whether the caller is still connected. Once the response is started, an error can only be reported in the document.
  */
 final class JsonAnswer implements CallerAnswer {
     private static final byte[] SPACE = {' '};
@@ -19,7 +19,7 @@
     private final String model;
     private final AnswerFormat format;
     private final StringBuilder text = new StringBuilder();
-    private long probedAt;
+    private long probedAtNanos;
 
     JsonAnswer(HttpExchange exchange, RequestId id, String model, AnswerFormat format) {
         this.response = new ChunkedResponse(exchange, "application/json");
@@ -30,21 +30,21 @@
 
     @Override
     public boolean admitted() {
-        probedAt = System.nanoTime();
+        probedAtNanos = System.nanoTime();
         return response.start(SPACE);
     }
 
     @Override
     public boolean probe() {
-        probedAt = System.nanoTime();
+        probedAtNanos = System.nanoTime();
         return response.write(SPACE);
     }
 
     @Override
     public boolean output(String output) {
         text.append(output);
-        long interval = 250_000_000;
-        return System.nanoTime() - probedAt < interval || probe();
+        long probeIntervalNanos = 250_000_000;
+        return System.nanoTime() - probedAtNanos < probeIntervalNanos || probe();
     }
 
     @Override
