--- a/cli/src/main/java/org/quetzalseam/cli/BenchCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/BenchCommand.java
@@ -23,12 +23,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measures a deployment, or tries to break its promises. */
+/** Measures a deployment, or checks its guarantees under injected faults. */
 @Command(
         name = "bench",
         description = {
-            "Measures a deployment with stand-ins, or tries to break its promises by faults.",
-            "Without --faults, --added-time or --capacity it compares policies on the same arrivals."
+            "Measures a deployment with stand-ins, or checks its guarantees under injected faults.",
+            "Without --faults, --added-time or --capacity, compares policies on the same arrivals."
         },
         mixinStandardHelpOptions = true)
 final class BenchCommand extends PrintingCommand implements Callable<Integer> {
@@ -38,10 +38,13 @@
     @Option(names = "--deployment", description = "landesamt or kowhai.", defaultValue = "landesamt")
     private String deployment = "landesamt";
 
-    @Option(names = "--seconds", description = "How long requests arrive in each run.", defaultValue = "20")
+    @Option(names = "--seconds", description = "Duration of request arrivals in each run.", defaultValue = "20")
     private double seconds = 20;
 
-    @Option(names = "--speed", description = "How many times faster than real engines.", defaultValue = "4")
+    @Option(
+            names = "--speed",
+            description = "Speed of the stand-ins, as a multiple of real engines.",
+            defaultValue = "4")
     private double speed = 4;
 
     @Option(names = "--load", split = ",", description = "Offered loads, such as 0.7,1.0.", defaultValue = "1.0")
@@ -53,25 +56,24 @@
     @Option(names = "--policy", description = "The policy to measure.", defaultValue = "default")
     private String policy = "default";
 
-    @Option(names = "--versus", split = ",", description = "Policies to measure it against; the last is the base.")
+    @Option(names = "--versus", split = ",", description = "Policies to compare with; the last is the baseline.")
     private List<String> versus = List.of();
 
     @Option(names = "--kill", description = "Kill one decode endpoint in the middle of each run.")
     private boolean kill;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Write all results there.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Write all results to this file as JSON.")
     private Optional<Path> json = Optional.empty();
 
-    @Option(names = "--plot", paramLabel = "FILE", description = "Write a PNG of goodput and waste against load there.")
+    @Option(names = "--plot", paramLabel = "FILE", description = "Write a PNG plot of goodput and waste against load.")
     private Optional<Path> plot = Optional.empty();
 
-    @Option(
-            names = "--faults",
-            paramLabel = "SEED",
-            description = "Bring about random faults and reconcile all records.")
+    @Option(names = "--faults", paramLabel = "SEED", description = "Inject random faults and reconcile all records.")
     private Optional<Long> faults = Optional.empty();
 
-    @Option(names = "--added-time", description = "Measure the router's own time on short calls, at 200 a second.")
+    @Option(
+            names = "--added-time",
+            description = "Measure the time that the router adds to short calls, at 200 per second.")
     private boolean addedTime;
 
     @Option(names = "--capacity", description = "Measure the slopes of docs/CAPACITY.md.")
@@ -123,7 +125,7 @@
         try {
             Files.write(file, Json.write(results));
         } catch (IOException e) {
-            throw new UncheckedIOException("can't write " + file, e);
+            throw new UncheckedIOException("cannot write " + file, e);
         }
     }
 
--- a/cli/src/main/java/org/quetzalseam/cli/DemoCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/DemoCommand.java
@@ -20,10 +20,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Shows the whole path in one JVM and fails when a promise was broken. */
+/** Runs a complete deployment in one JVM, and fails if a guarantee was violated or an answer was lost. */
 @Command(
         name = "demo",
-        description = "Runs a whole deployment in this process, with stand-ins, and shows what its callers experience.",
+        description =
+                "Runs a complete deployment in this process, with stand-ins, and reports what its callers experience.",
         mixinStandardHelpOptions = true)
 final class DemoCommand extends PrintingCommand implements Callable<Integer> {
     private static final int BROKEN = 1;
@@ -37,26 +38,26 @@
 
     @Option(
             names = "--seconds",
-            description = "How long requests arrive. Default: ${DEFAULT-VALUE}.",
+            description = "Duration of request arrivals. Default: ${DEFAULT-VALUE}.",
             defaultValue = "12")
     private double seconds = 12;
 
     @Option(
             names = "--load",
-            description = "Load, as a share of what the deployment is sized for. Default: ${DEFAULT-VALUE}.",
+            description = "Load, as a fraction of the load the deployment is sized for. Default: ${DEFAULT-VALUE}.",
             defaultValue = "0.7")
     private double load = 0.7;
 
     @Option(
             names = "--speed",
-            description = "How many times faster than real engines the stand-ins work. Default: ${DEFAULT-VALUE}.",
+            description = "Speed of the stand-ins, as a multiple of real engines. Default: ${DEFAULT-VALUE}.",
             defaultValue = "4")
     private double speed = 4;
 
     @Option(names = "--seed", description = "Seed of the arrivals. Default: ${DEFAULT-VALUE}.", defaultValue = "1")
     private long seed = 1;
 
-    @Option(names = "--keep", description = "Stay up afterwards and print requests to try, until interrupted.")
+    @Option(names = "--keep", description = "Keep running afterwards until interrupted, and print example requests.")
     private boolean keep;
 
     @Override
--- a/cli/src/main/java/org/quetzalseam/cli/Main.java
+++ b/cli/src/main/java/org/quetzalseam/cli/Main.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code quetzalseam}. */
+/** Entry point of the command line {@code quetzalseam}. */
 @Command(
         name = "quetzalseam",
         description = "Operates and evaluates quetzalseam.",
@@ -31,15 +31,15 @@
             BenchCommand.class
         })
 public final class Main extends PrintingCommand implements Callable<Integer> {
-    @Option(names = "--verbose", description = "Log what the daemons do.", scope = CommandLine.ScopeType.INHERIT)
+    @Option(names = "--verbose", description = "Log events of the daemons.", scope = CommandLine.ScopeType.INHERIT)
     private boolean verbose;
 
-    /** Runs the command and exits with its status. */
+    /** Runs the command and exits with its exit code. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
 
-    /** Runs the command and returns its status. */
+    /** Runs the command and returns its exit code. */
     public static int run(String... args) {
         Main main = new Main();
         return new CommandLine(main)
--- a/cli/src/main/java/org/quetzalseam/cli/load/Caller.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Caller.java
@@ -19,8 +19,8 @@
 import org.quetzalseam.daemon.Json;
 
 /**
- * Sends requests as callers do, once each, and checks every answer: that it is the request's own, whole, and in order.
- * Thread-safe; {@link #send} blocks.
+ * Sends requests as callers do, once each, and checks that every answer belongs to its request, is complete and is in
+ * order. Thread-safe; {@code send} blocks.
  */
 public final class Caller {
     private static final Duration TIMEOUT = Duration.ofMinutes(2);
@@ -34,7 +34,7 @@
             .connectTimeout(Duration.ofSeconds(5))
             .build();
 
-    /** What one try brought. Mutable; used by one thread. */
+    /** State and outcome of one attempt. Mutable; used by one thread. */
     private static final class Try {
         final long intended;
         long first;
@@ -75,19 +75,19 @@
     }
 
     /**
-     * Sends a request.
+     * Sends a request and waits for the end of its answer.
      *
      * @param planned the request
-     * @param entryUrl address of an entry
-     * @param intended when it was to arrive, in nanoseconds of the monotonic clock
-     * @param runId makes ids of this run differ from those of others
-     * @param hangUpAfter outputs after which the caller hangs up, or -1
+     * @param entryUrl base URL of an entry
+     * @param intended scheduled arrival time, in nanoseconds of {@link System#nanoTime()}
+     * @param runId prefix that distinguishes the ids of this run from those of other runs
+     * @param hangUpAfter number of outputs after which the caller disconnects, or -1 if it does not
      */
     public Sample send(Planned planned, String entryUrl, long intended, String runId, int hangUpAfter) {
         return send(planned, entryUrl, intended, runId, hangUpAfter, Uuid7.next(runId + planned.number()));
     }
 
-    /** Sends a request with a given idempotency key, which counts only for requests that are to have one. */
+    /** Sends a request with the given idempotency key, which is ignored unless the traffic is keyed. */
     public Sample send(Planned planned, String entryUrl, long intended, String runId, int hangUpAfter, String key) {
         Try current = new Try(intended);
         String businessId = runId + "-" + planned.number();
--- a/cli/src/main/java/org/quetzalseam/cli/load/LoadRun.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/LoadRun.java
@@ -12,7 +12,7 @@
 import org.quetzalseam.cli.site.Site;
 import org.quetzalseam.cli.site.Wait;
 
-/** Sends a schedule of requests to a site and collects what became of them. Used by one thread. */
+/** Sends a schedule of requests to a site and collects their outcomes. For use by a single thread. */
 public final class LoadRun {
     private static final long LAST_ANSWERS_SECONDS = 150;
     private static final Duration RETRY_PAUSE = Duration.ofMillis(300);
@@ -32,15 +32,15 @@
     /**
      * Creates a run.
      *
-     * @param site the site
-     * @param runId makes ids of this run differ from those of others
-     * @param hangUpShare share of streamed requests whose callers hang up early
+     * @param site site that receives the requests
+     * @param runId prefix that distinguishes the ids of this run from those of other runs
+     * @param hangUpShare fraction of streamed requests whose callers disconnect early
      */
     public LoadRun(Site site, String runId, double hangUpShare) {
         this(site, runId, hangUpShare, 1);
     }
 
-    /** Creates a run whose callers send a keyed request up to {@code tries} times with the same key. */
+    /** Creates a run whose callers send a keyed request up to {@code maxAttempts} times with the same key. */
     public LoadRun(Site site, String runId, double hangUpShare, int tries) {
         this.tries = tries;
         this.site = site;
@@ -48,7 +48,10 @@
         this.hangUpShare = hangUpShare;
     }
 
-    /** Sends all requests at their times and returns when the last of them has ended. */
+    /**
+     * Sends all requests at their scheduled times. Returns the samples when the last request has ended, or 150 s after the
+     * last was sent, whichever is earlier.
+     */
     public List<Sample> run(List<Planned> schedule, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         long start = System.nanoTime();
@@ -74,7 +77,7 @@
     private void send(Planned planned, long at, int hangUp) {
         String key = Uuid7.next(runId + planned.number());
         Sample sample = sendOnce(planned, at, hangUp, key, 0);
-        // A caller with a key comes back with the same key, at another entry, until it knows.
+        // A caller with a key retries with the same key at another entry until it is answered, up to the limit.
         for (int again = 1; again < tries && planned.traffic().keyed() && sample.told() != Told.ANSWERED; again++) {
             Wait.pass(RETRY_PAUSE);
             sample = sendOnce(planned, at, hangUp, key, again);
--- a/cli/src/main/java/org/quetzalseam/cli/load/Planned.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Planned.java
@@ -3,13 +3,13 @@
 import org.quetzalseam.cli.site.Traffic;
 
 /**
- * One request that is to be sent. Immutable.
+ * A scheduled request. Immutable.
  *
- * @param number its number, from 0
- * @param atNanos when it is to arrive, from the start of the run
- * @param traffic its kind
- * @param owner its owner
- * @param promptTokens length of its prompt
- * @param outputTokens length of its answer
+ * @param number sequence number in the schedule, from 0
+ * @param atNanos scheduled arrival time, in nanoseconds after the start of the run
+ * @param traffic kind of the request
+ * @param owner owner that sends it
+ * @param promptTokens prompt length in tokens
+ * @param outputTokens output length in tokens
  */
 public record Planned(long number, long atNanos, Traffic traffic, String owner, int promptTokens, int outputTokens) {}
--- a/cli/src/main/java/org/quetzalseam/cli/load/Report.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Report.java
@@ -14,12 +14,12 @@
 import org.quetzalseam.core.catalogue.Targets;
 
 /**
- * Puts together what callers experienced with what services and engines saw. Immutable.
+ * Results of a run: outcomes that callers observed, reconciled with the records of services and engines. Immutable.
  *
- * @param summaries one for each kind of requests, in the order of the deployment
- * @param madeTokens prompt tokens that engines prefilled
- * @param wastedTokens prompt tokens that were prefilled and not used
- * @param violations sentences that each name a broken promise
+ * @param summaries one summary per kind of requests, in the order of the deployment
+ * @param madeTokens number of prompt tokens that engines prefilled
+ * @param wastedTokens number of prompt tokens that were prefilled but not used
+ * @param violations descriptions of the violated guarantees, one per violation
  */
 public record Report(List<Summary> summaries, long madeTokens, long wastedTokens, List<String> violations) {
     private static final double PERCENT = 100;
@@ -31,7 +31,7 @@
         violations = List.copyOf(violations);
     }
 
-    /** Makes a report of a run. */
+    /** Creates the report of a run from its samples and the records of the site. */
     public static Report of(Site site, List<Traffic> traffic, List<Sample> samples) {
         Catalogue catalogue = CatalogueParser.parse(site.catalogue()).catalogue();
         List<Summary> summaries = new ArrayList<>();
@@ -87,12 +87,12 @@
         }
     }
 
-    /** Returns the share of prefilled prompt tokens that was wasted, in percent. */
+    /** Returns the percentage of prefilled prompt tokens that were wasted. */
     public double wastedPercent() {
         return madeTokens == 0 ? 0 : PERCENT * wastedTokens / madeTokens;
     }
 
-    /** Returns the number of requests that were answered within both targets. */
+    /** Returns the number of requests that were answered within both latency targets. */
     public int good() {
         return summaries.stream().mapToInt(Summary::good).sum();
     }
--- a/cli/src/main/java/org/quetzalseam/cli/load/Schedule.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Schedule.java
@@ -7,8 +7,8 @@
 import org.quetzalseam.cli.site.Traffic;
 
 /**
- * Draws the arrivals of a run: open loop, so that a late answer doesn't slow what comes after it. The same seed gives the
- * same arrivals. Stateless.
+ * Generates the arrivals of a run as an open loop, so that a late answer does not delay later requests. The same seed
+ * gives the same arrivals. Stateless.
  */
 public final class Schedule {
     private static final double NANOS = 1e9;
@@ -16,12 +16,12 @@
     private Schedule() {}
 
     /**
-     * Returns the arrivals in their order.
+     * Returns the arrivals, sorted by time.
      *
      * @param traffic the kinds of requests
-     * @param load factor on all their rates
-     * @param seconds length of the run
-     * @param seed seed of all that is drawn
+     * @param load factor applied to all rates
+     * @param seconds duration of the run
+     * @param seed seed of all random choices
      */
     public static List<Planned> draw(List<Traffic> traffic, double load, double seconds, long seed) {
         SplittableRandom seeds = new SplittableRandom(seed);
@@ -61,7 +61,7 @@
         }
     }
 
-    /** The first owner sends twice as much as each of the others. */
+    /** Returns a random owner; the first is drawn twice as often as each of the others. */
     private static String owner(Traffic kind, SplittableRandom random) {
         int share = random.nextInt(kind.owners().size() + 1);
         return kind.owners().get(Math.max(0, share - 1));
--- a/cli/src/main/java/org/quetzalseam/cli/load/Summary.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Summary.java
@@ -5,19 +5,19 @@
 import org.quetzalseam.core.catalogue.Targets;
 
 /**
- * What became of one kind of requests. Immutable.
+ * Outcomes of all requests of one kind. Immutable.
  *
- * @param name the kind
- * @param count requests sent
- * @param answered whole answers
- * @param good whole answers within both latency targets
- * @param notRun requests that were refused as not run
- * @param incomplete requests told to be incomplete
- * @param unknown requests told to be unknown
- * @param cutOff connections that broke without a word
- * @param wrong answers that were not the request's own or not whole
+ * @param name name of the kind
+ * @param count number of requests sent
+ * @param answered complete answers
+ * @param good complete answers within both latency targets
+ * @param notRun requests reported as not run
+ * @param incomplete requests reported as incomplete
+ * @param unknown requests whose result was reported as unknown
+ * @param cutOff connections that broke without a response that states the outcome
+ * @param wrong answers that belonged to another request or were not complete although they claimed to be
  * @param first times to the first output, in milliseconds: median and 95th percentile
- * @param steady times between later outputs, in milliseconds: median and 95th percentile
+ * @param steady mean times between successive outputs, in milliseconds: median and 95th percentile
  */
 public record Summary(
         String name,
@@ -43,7 +43,7 @@
      */
     public record Quantiles(double p50, double p95) {}
 
-    /** Summarizes samples, to be judged by the given targets. */
+    /** Summarizes samples; those within the given targets count as good. */
     public static Summary of(String name, List<Sample> samples, Targets targets) {
         Histogram first = new Histogram(3);
         Histogram steady = new Histogram(3);
@@ -70,7 +70,7 @@
                 quantiles(steady));
     }
 
-    /** Returns whether a request was answered within both targets. */
+    /** Returns whether a request was answered within both latency targets. */
     public static boolean isGood(Sample sample, Targets targets) {
         return sample.told() == Told.ANSWERED
                 && sample.firstMillis() <= targets.firstOutputMillis()
--- a/cli/src/main/java/org/quetzalseam/cli/load/Told.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Told.java
@@ -1,19 +1,19 @@
 package org.quetzalseam.cli.load;
 
-/** What a caller was told of its request, or saw of the answer. */
+/** Outcome of a request as its caller learned it from the response or from the connection. */
 public enum Told {
-    /** The whole answer to its own request. */
+    /** The caller received the complete answer to its own request. */
     ANSWERED,
-    /** The request was not run. */
+    /** The response states that the request was not run. */
     NOT_RUN,
-    /** The request ran, and the answer is not whole. */
+    /** The response states that the request ran but the answer is incomplete. */
     INCOMPLETE,
-    /** Nothing is known. */
+    /** The response leaves open whether the request ran. */
     UNKNOWN,
-    /** The connection broke before the end, and the caller was told nothing. */
+    /** The connection broke before the end of the answer, without a statement of the outcome. */
     CUT_OFF,
-    /** The caller hung up on purpose. */
+    /** The caller disconnected on purpose. */
     HUNG_UP,
-    /** The answer claims to be whole but isn't this request's, or misses, repeats or mixes up outputs. */
+    /** The answer claims to be complete but belongs to another request, or misses, repeats or reorders outputs. */
     WRONG
 }
--- a/cli/src/main/java/org/quetzalseam/cli/load/package-info.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/package-info.java
@@ -1,4 +1,4 @@
-/** Open-loop traffic, what callers experience, and reports of it. */
+/** Open-loop load generation, the outcomes that callers observe, and reports. */
 @NullMarked
 package org.quetzalseam.cli.load;
 
--- a/cli/src/main/java/org/quetzalseam/cli/operate/ApplyCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/ApplyCommand.java
@@ -13,12 +13,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Proposes a catalogue and waits until it is in force or refused. */
+/** Proposes a catalogue and waits until it is in force or has been refused. */
 @Command(
         name = "apply",
         description = {
-            "Makes a catalogue the accepted one, and waits until it is in force.",
-            "0: in force everywhere. 1: refused. 2: not sound. 3: another change came first. 4: nothing is known."
+            "Proposes a catalogue for acceptance and waits until it is in force.",
+            "0: in force everywhere. 1: refused. 2: invalid. 3: conflicts with another change. 4: result unknown."
         },
         mixinStandardHelpOptions = true)
 public final class ApplyCommand extends CatalogueCommand {
@@ -27,7 +27,7 @@
     @Option(
             names = "--wait",
             paramLabel = "SECONDS",
-            description = "How long to wait. Default: ${DEFAULT-VALUE}.",
+            description = "Maximum time to wait. Default: ${DEFAULT-VALUE}.",
             defaultValue = "30")
     private int waitSeconds = 30;
 
@@ -35,7 +35,7 @@
             names = "--base",
             paramLabel = "VERSION",
             description =
-                    "The accepted version that the files were made from. Default: what DIR/.catalogue-version says.")
+                    "The accepted version that the files are based on. Default: the version in DIR/.catalogue-version.")
     private Optional<Long> base = Optional.empty();
 
     @Override
--- a/cli/src/main/java/org/quetzalseam/cli/operate/CatalogueCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/CatalogueCommand.java
@@ -8,7 +8,7 @@
 import org.quetzalseam.core.ini.Problem;
 import picocli.CommandLine.Parameters;
 
-/** What the commands about a catalogue's directory have in common. */
+/** Base class of the commands that work on a catalogue directory. */
 abstract class CatalogueCommand extends PlatformCommand {
     @Parameters(paramLabel = "DIR", description = "Directory with the catalogue's .ini files.")
     private Path directory = Path.of("");
@@ -17,7 +17,7 @@
         return new CatalogueDirectory(directory);
     }
 
-    /** Checks the files as a whole and prints every problem. */
+    /** Parses the files as one catalogue, prints every problem to the error output, and returns the result. */
     final Parsed check(Map<String, String> files) {
         Parsed parsed = CatalogueParser.parse(files);
         List<Problem> problems = parsed.problems();
--- a/cli/src/main/java/org/quetzalseam/cli/operate/CatalogueDiff.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/CatalogueDiff.java
@@ -9,11 +9,11 @@
 import java.util.TreeSet;
 import org.quetzalseam.core.catalogue.Catalogue;
 
-/** Says in words how two catalogues differ. Stateless. */
+/** Describes the differences between two catalogues. Stateless. */
 final class CatalogueDiff {
     private CatalogueDiff() {}
 
-    /** Returns a line for each difference, in the order of the names. */
+    /** Returns one line per difference, grouped by kind and sorted by name. */
     static List<String> lines(Catalogue before, Catalogue after) {
         List<String> lines = new ArrayList<>();
         compare("owner", before.owners(), after.owners(), lines);
@@ -57,7 +57,7 @@
         try {
             return component.getAccessor().invoke(of);
         } catch (IllegalAccessException | InvocationTargetException e) {
-            throw new IllegalStateException("component " + component + " can't be read", e);
+            throw new IllegalStateException("cannot read record component " + component, e);
         }
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/operate/CatalogueDirectory.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/CatalogueDirectory.java
@@ -10,8 +10,8 @@
 import java.util.stream.Stream;
 
 /**
- * A catalogue as files in a directory, kept under version control by operators. The file {@code .catalogue-version} says
- * which accepted version the files were made from. Not thread-safe.
+ * A directory of catalogue files that operators keep under version control. The file {@code .catalogue-version} holds the
+ * accepted version that the files are based on. Not thread-safe.
  */
 final class CatalogueDirectory {
     private static final String VERSION_FILE = ".catalogue-version";
@@ -23,14 +23,14 @@
         this.path = path;
     }
 
-    /** Returns the texts of all {@code .ini} files by name. */
+    /** Returns the contents of all {@code .ini} files, keyed by file name. */
     Map<String, String> files() {
         Map<String, String> files = new TreeMap<>();
         for (Path file : list()) {
             try {
                 files.put(file.getFileName().toString(), Files.readString(file));
             } catch (IOException e) {
-                throw new UncheckedIOException("can't read " + file, e);
+                throw new UncheckedIOException("cannot read " + file, e);
             }
         }
         return files;
@@ -42,11 +42,11 @@
                     .sorted()
                     .toList();
         } catch (IOException e) {
-            throw new UncheckedIOException("can't read directory " + path, e);
+            throw new UncheckedIOException("cannot read directory " + path, e);
         }
     }
 
-    /** Returns the accepted version that the files were made from, 0 when they were made from none. */
+    /** Returns the accepted version that the files are based on, or 0 if there is no version file. */
     long baseVersion() {
         Path file = path.resolve(VERSION_FILE);
         if (!Files.exists(file)) {
@@ -59,11 +59,12 @@
         }
     }
 
+    /** Records the accepted version that the files are based on. */
     void baseVersion(long version) {
         write(path.resolve(VERSION_FILE), version + "\n");
     }
 
-    /** Makes the directory hold exactly the given files. */
+    /** Replaces all {@code .ini} files of the directory with the given files; creates the directory if necessary. */
     void replace(Map<String, String> files) {
         try {
             Files.createDirectories(path);
@@ -73,7 +74,7 @@
                 }
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("can't write directory " + path, e);
+            throw new UncheckedIOException("cannot write directory " + path, e);
         }
         files.forEach((name, text) -> write(path.resolve(name), text));
     }
@@ -82,7 +83,7 @@
         try {
             Files.writeString(file, text);
         } catch (IOException e) {
-            throw new UncheckedIOException("can't write " + file, e);
+            throw new UncheckedIOException("cannot write " + file, e);
         }
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/operate/CheckCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/CheckCommand.java
@@ -4,10 +4,10 @@
 import org.quetzalseam.core.catalogue.CatalogueParser.Parsed;
 import picocli.CommandLine.Command;
 
-/** Checks a catalogue without sending it anywhere. */
+/** Validates a catalogue locally, without contacting the platform. */
 @Command(
         name = "check",
-        description = "Checks a catalogue: 0 when it is sound, 2 when not, with every problem.",
+        description = "Validates a catalogue and prints every problem. 0: valid. 2: invalid.",
         mixinStandardHelpOptions = true)
 public final class CheckCommand extends CatalogueCommand {
     @Override
--- a/cli/src/main/java/org/quetzalseam/cli/operate/DiffCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/DiffCommand.java
@@ -6,10 +6,10 @@
 import org.quetzalseam.daemon.catalogue.CatalogueStore;
 import picocli.CommandLine.Command;
 
-/** Shows what applying a catalogue would change. */
+/** Shows what would change if a catalogue were applied. */
 @Command(
         name = "diff",
-        description = "Shows how a catalogue differs from the accepted one, and changes nothing.",
+        description = "Shows how a catalogue differs from the accepted one, without changing anything.",
         mixinStandardHelpOptions = true)
 public final class DiffCommand extends CatalogueCommand {
     @Override
--- a/cli/src/main/java/org/quetzalseam/cli/operate/ExitCodes.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/ExitCodes.java
@@ -1,20 +1,20 @@
 package org.quetzalseam.cli.operate;
 
-/** Exit statuses of the operators' commands. */
+/** Exit codes of the operator commands. */
 public final class ExitCodes {
-    /** Done. */
+    /** The command succeeded. */
     public static final int OK = 0;
 
-    /** What was asked for was refused, or a check failed. */
+    /** The request was refused, a check failed, or nothing was found. */
     public static final int REFUSED = 1;
 
-    /** The command's input is wrong. */
+    /** The command's input is invalid. */
     public static final int BAD_INPUT = 2;
 
-    /** Somebody else's change came first. */
+    /** The change conflicts with another change that was made first. */
     public static final int CONFLICT = 3;
 
-    /** The platform or a process could not be reached, so nothing is known. */
+    /** The platform or a process could not be reached in time, so the result is unknown. */
     public static final int UNAVAILABLE = 4;
 
     private ExitCodes() {}
--- a/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
@@ -16,12 +16,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Tells what happened to one request. */
+/** Shows what happened to one request, as recorded by the entries or in log files. */
 @Command(
         name = "explain",
         description =
-                "Tells what happened to a request, by the id in its X-Request-Id header: from the processes' memory,"
-                        + " or with --log from what they have logged.",
+                "Shows what happened to the request with the given X-Request-Id, from the records that the entries keep in"
+                        + " memory, or with --log from log files.",
         mixinStandardHelpOptions = true)
 public final class ExplainCommand extends PlatformCommand {
     @Parameters(paramLabel = "REQUEST", description = "The request's id.")
@@ -30,7 +30,7 @@
     @Option(
             names = "--log",
             paramLabel = "FILE",
-            description = "Read log files instead of asking the processes; may be given again.")
+            description = "Search this log file instead of querying the entries; can be repeated.")
     private List<Path> logs = List.of();
 
     @Override
@@ -43,12 +43,12 @@
         try {
             lines = LogSearch.lines(logs, request);
         } catch (IOException | UncheckedIOException e) {
-            err().println("a log can't be read: " + e.getMessage());
+            err().println("cannot read log: " + e.getMessage());
             return ExitCodes.REFUSED;
         }
         lines.forEach(out()::println);
         if (lines.isEmpty()) {
-            err().println("no line of these logs names request " + request);
+            err().println("no log line found for request " + request);
             return ExitCodes.REFUSED;
         }
         return ExitCodes.OK;
@@ -66,7 +66,8 @@
                 return ExitCodes.OK;
             }
         }
-        err().println("no entry that answers remembers this request; entries remember the latest 2000");
+        err().println(
+                        "no reachable entry has a record of this request; entries keep records of the latest 2000 requests");
         return ExitCodes.REFUSED;
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/operate/FetchCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/FetchCommand.java
@@ -4,10 +4,10 @@
 import org.quetzalseam.daemon.catalogue.CatalogueStore;
 import picocli.CommandLine.Command;
 
-/** Writes the accepted catalogue into a directory. */
+/** Downloads the accepted catalogue into a directory. */
 @Command(
         name = "fetch",
-        description = "Replaces the .ini files of a directory by the accepted catalogue.",
+        description = "Replaces the .ini files of a directory with those of the accepted catalogue.",
         mixinStandardHelpOptions = true)
 public final class FetchCommand extends CatalogueCommand {
     @Override
--- a/cli/src/main/java/org/quetzalseam/cli/operate/LogSearch.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/LogSearch.java
@@ -10,13 +10,13 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** Finds what the logs of entries say of one request. Stateless. */
+/** Searches entry logs for the lines of one request. Stateless. */
 final class LogSearch {
     private static final Pattern TIME = Pattern.compile("time=(\\S+)");
 
     private LogSearch() {}
 
-    /** Returns the lines that name the request, in the order of their times. */
+    /** Returns the lines that carry the request id, sorted by their {@code time=} values. */
     static List<String> lines(List<Path> files, String request) throws IOException {
         Pattern names = Pattern.compile("\\brequest=" + Pattern.quote(request) + "(\\s|$)");
         List<String> found = new ArrayList<>();
--- a/cli/src/main/java/org/quetzalseam/cli/operate/PlatformCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/PlatformCommand.java
@@ -9,12 +9,12 @@
 import org.quetzalseam.daemon.platform.StoreException;
 import picocli.CommandLine.Option;
 
-/** What the commands that talk to the platform have in common. */
+/** Base class of the commands that use the platform's store. Maps failures to {@link ExitCodes}. */
 abstract class PlatformCommand extends PrintingCommand implements Callable<Integer> {
     @Option(
             names = "--platform",
             paramLabel = "URL",
-            description = "Address of the platform's store. Default: the environment's QUETZALSEAM_PLATFORM.",
+            description = "URL of the platform's store. Default: the environment variable QUETZALSEAM_PLATFORM.",
             defaultValue = "${env:QUETZALSEAM_PLATFORM:-}")
     private String platform = "";
 
@@ -29,7 +29,7 @@
         return new CatalogueStore(store());
     }
 
-    /** Does what the command is for. */
+    /** Executes the command and returns its exit code. */
     abstract int run();
 
     @Override
--- a/cli/src/main/java/org/quetzalseam/cli/operate/PrintingCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/PrintingCommand.java
@@ -6,12 +6,12 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that prints. Used by one thread. */
+/** Base class of the commands, with their output streams. For use by a single thread. */
 public abstract class PrintingCommand {
     @Spec
     private @Nullable CommandSpec spec;
 
-    /** Returns where results go. */
+    /** Returns the writer for results. */
     protected final PrintWriter out() {
         CommandSpec given = spec;
         return given == null
@@ -19,7 +19,7 @@
                 : given.commandLine().getOut();
     }
 
-    /** Returns where errors go. */
+    /** Returns the writer for error messages. */
     protected final PrintWriter err() {
         CommandSpec given = spec;
         return given == null
--- a/cli/src/main/java/org/quetzalseam/cli/operate/Processes.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/Processes.java
@@ -15,19 +15,19 @@
 import org.quetzalseam.wire.message.Role;
 import org.quetzalseam.wire.message.Vm;
 
-/** Asks the processes of a site over their operators' interfaces. Thread-safe. */
+/** Queries the processes of a site over their operator interfaces. Thread-safe. */
 final class Processes {
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final int OK = 200;
 
     /**
-     * A process on the platform's list, and what it said. Immutable.
+     * A process on the platform's list and its status response. Immutable.
      *
-     * @param vm the VM it runs on
-     * @param status what it said of itself, or nothing when it gave no answer
+     * @param vm the VM that the process runs on
+     * @param status its response to {@code /status}, or empty if it gave none
      */
     record Seen(Vm vm, Optional<JsonNode> status) {
-        /** Returns the version of the catalogue that the process runs or passes on, if it answered. */
+        /** Returns the version of the catalogue that the process runs or forwards, or empty if it did not respond. */
         Optional<Long> catalogue() {
             return status.map(node -> node.path("catalogue").asLong());
         }
@@ -36,14 +36,14 @@
     private final HttpClient client =
             HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
 
-    /** Returns all processes on the list; those that can't be asked are there without an answer. */
+    /** Returns all listed processes, including those that did not respond. */
     List<Seen> all(ObjectStore store) {
         return store.members(0, Duration.ZERO).vms().parallelStream()
                 .map(this::ask)
                 .toList();
     }
 
-    /** Returns the entries among the processes on the list. */
+    /** Returns all listed entries, including those that did not respond. */
     List<Seen> entries(ObjectStore store) {
         return all(store).stream()
                 .filter(seen -> seen.vm().role() == Role.ENTRY)
@@ -54,7 +54,7 @@
         return new Seen(vm, get(vm, "/status"));
     }
 
-    /** Returns what a process answers to a path, or nothing when it doesn't. */
+    /** Returns the JSON response of a process to a GET request, or empty if the request failed or timed out. */
     Optional<JsonNode> get(Vm vm, String path) {
         URI uri = URI.create("http://" + vm.host() + ":" + vm.operatorPort() + path);
         try {
--- a/cli/src/main/java/org/quetzalseam/cli/operate/StatusCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/StatusCommand.java
@@ -8,10 +8,10 @@
 import org.quetzalseam.wire.message.Role;
 import picocli.CommandLine.Command;
 
-/** Shows what is accepted, what was refused and why, and what each process runs. */
+/** Shows the accepted catalogue, a pending or refused proposal with its problems, and the status of each process. */
 @Command(
         name = "status",
-        description = "Shows the accepted catalogue, the last refusal, and what each process runs.",
+        description = "Shows the accepted catalogue, a pending or refused proposal, and what each process runs.",
         mixinStandardHelpOptions = true)
 public final class StatusCommand extends PlatformCommand {
     @Override
@@ -41,22 +41,23 @@
         long running = entries.stream()
                 .filter(seen -> seen.catalogue().orElse(-1L) == accepted.version())
                 .count();
-        long silent = entries.stream().filter(seen -> seen.status().isEmpty()).count();
+        long unresponsive =
+                entries.stream().filter(seen -> seen.status().isEmpty()).count();
         out().printf(
                         "version %d is in force at %d of %d entries; %d gave no answer%n",
-                        accepted.version(), running, entries.size(), silent);
+                        accepted.version(), running, entries.size(), unresponsive);
         return ExitCodes.OK;
     }
 
     private void show(Processes.Seen seen) {
-        String said = seen.status()
-                .map(status -> seen.vm().role() == Role.ENTRY
-                        ? "runs version " + status.path("catalogue").asLong()
-                        : status.path("load").path("free").asInt() + " places free, "
-                                + status.path("load").path("queued").asInt() + " waiting")
+        String status = seen.status()
+                .map(response -> seen.vm().role() == Role.ENTRY
+                        ? "runs version " + response.path("catalogue").asLong()
+                        : response.path("load").path("free").asInt() + " places free, "
+                                + response.path("load").path("queued").asInt() + " waiting")
                 .orElse("no answer");
         out().printf(
                         "  %-28s %-16s %s%s%n",
-                        seen.vm().name(), seen.vm().zone(), said, seen.vm().leaving() ? " (leaving)" : "");
+                        seen.vm().name(), seen.vm().zone(), status, seen.vm().leaving() ? " (leaving)" : "");
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/operate/package-info.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' commands: the catalogue, and what a site does. */
+/** Operator commands: manage the catalogue, and inspect processes and requests. */
 @NullMarked
 package org.quetzalseam.cli.operate;
 
--- a/cli/src/main/java/org/quetzalseam/cli/package-info.java
+++ b/cli/src/main/java/org/quetzalseam/cli/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' and evaluators' command line {@code quetzalseam}. */
+/** The command line {@code quetzalseam}, for operating and evaluating a deployment. */
 @NullMarked
 package org.quetzalseam.cli;
 
--- a/cli/src/main/java/org/quetzalseam/cli/site/BackendVm.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/BackendVm.java
@@ -6,7 +6,7 @@
 import org.quetzalseam.standins.EngineStandIn;
 import org.quetzalseam.standins.ServiceStandIn;
 
-/** The engine or service of one endpoint VM. Thread-safe. */
+/** The engine or service stand-in of one endpoint VM. Thread-safe. */
 public final class BackendVm {
     private static final long SERVICE_MILLIS = 3;
 
@@ -31,17 +31,17 @@
                 .orElseThrow();
     }
 
-    /** Returns whether it is an engine. */
+    /** Returns whether the backend is an engine rather than a service. */
     public boolean isEngine() {
         return engine.isPresent();
     }
 
-    /** Returns the engine; there is none before a service. */
+    /** Returns the engine. Throws if the backend is a service. */
     public EngineStandIn engine() {
         return engine.orElseThrow();
     }
 
-    /** Returns the service; there is none before an engine. */
+    /** Returns the service. Throws if the backend is an engine. */
     public ServiceStandIn service() {
         return service.orElseThrow();
     }
--- a/cli/src/main/java/org/quetzalseam/cli/site/Deployment.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/Deployment.java
@@ -16,14 +16,14 @@
 import org.quetzalseam.daemon.settings.Settings.BackendKind;
 
 /**
- * What a deployment consists of. Immutable. Two come with the program: {@code landesamt} and {@code kowhai}.
+ * Description of a deployment. Immutable. Two are bundled with the program: {@code landesamt} and {@code kowhai}.
  *
- * @param name its name
- * @param zones its availability zones
+ * @param name name of the deployment
+ * @param zones availability zones
  * @param entries number of entry VMs
- * @param pools its pools
- * @param traffic what its callers send
- * @param catalogue texts of its catalogue by file name
+ * @param pools endpoint pools
+ * @param traffic kinds of requests that its callers send
+ * @param catalogue contents of the catalogue files, keyed by file name
  */
 public record Deployment(
         String name,
@@ -37,9 +37,9 @@
     /**
      * A pool of endpoints. Immutable.
      *
-     * @param name its name
-     * @param kind what its endpoints stand before
-     * @param servers number of VMs
+     * @param name name of the pool
+     * @param kind kind of backend behind its endpoints
+     * @param servers number of endpoint VMs
      */
     public record Pool(String name, BackendKind kind, int servers) {}
 
@@ -51,7 +51,7 @@
         catalogue = Map.copyOf(catalogue);
     }
 
-    /** Reads one of the deployments that come with the program. */
+    /** Returns one of the bundled deployments. */
     public static Deployment bundled(String name) {
         String text = resource(name + "/deployment.ini")
                 .orElseThrow(
--- a/cli/src/main/java/org/quetzalseam/cli/site/EndpointVm.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/EndpointVm.java
@@ -11,7 +11,7 @@
 import org.quetzalseam.standins.PlatformStandIn.ListedVm;
 import org.quetzalseam.wire.message.Role;
 
-/** An endpoint VM: a daemon, what it stands before, and the network path to it. Thread-safe. */
+/** An endpoint VM: a daemon, its backend, and the network path to the daemon. Thread-safe. */
 public final class EndpointVm {
     private static final int SERVICE_PLACES = 64;
     private static final int PREFILL_PLACES = 2;
@@ -38,27 +38,27 @@
         return name;
     }
 
-    /** Returns the pool it belongs to. */
+    /** Returns the pool that the VM belongs to. */
     public Deployment.Pool pool() {
         return pool;
     }
 
-    /** Returns its engine or service. */
+    /** Returns the engine or service of the VM. */
     public BackendVm backend() {
         return backend;
     }
 
-    /** Returns the running daemon. */
+    /** Returns the running daemon. Throws if it is not running. */
     public synchronized EndpointDaemon daemon() {
         return daemon.orElseThrow();
     }
 
-    /** Returns whether the daemon runs. */
+    /** Returns whether the daemon is running. */
     public synchronized boolean running() {
         return daemon.isPresent();
     }
 
-    /** Returns the network path to the daemon, on a site with proxies. */
+    /** Returns the proxy in front of the daemon. Throws on a site without proxies. */
     public synchronized LinkProxy proxy() {
         return proxy.orElseThrow();
     }
@@ -76,7 +76,7 @@
                 + Site.section("timing", site.options().timing());
     }
 
-    /** Returns how many places the endpoint has. */
+    /** Returns the value of the setting {@code places} for this endpoint. */
     public int places() {
         if (pool.kind() == BackendKind.SERVICE) {
             return SERVICE_PLACES;
@@ -84,12 +84,15 @@
         return pool.kind() == BackendKind.PREFILL ? PREFILL_PLACES : DECODE_PLACES;
     }
 
-    /** Starts the daemon and puts the VM on the platform's list. */
+    /** Starts the daemon and adds the VM to the platform's list. */
     public void start() {
         start(0);
     }
 
-    /** The same, on a network path that delays each piece, in either direction; on a site with proxies. */
+    /**
+     * Starts the daemon and adds the VM to the platform's list. On a site with proxies, the network path delays each chunk of
+     * data in either direction by the given time.
+     */
     public synchronized void start(long pathDelayMillis) {
         SettingsReader.Result read = SettingsReader.read(Role.ENDPOINT, name, settings());
         List<Problem> problems = read.problems();
@@ -110,7 +113,7 @@
         site.platform().list(new ListedVm(name, "endpoint", zone, pool.name(), port, started.operatorPort(), false));
     }
 
-    /** Stops the daemon as planned. The platform's list still shows the VM as live: it lags. */
+    /** Shuts the daemon down gracefully. The platform's list still shows the VM as live, because the list lags. */
     public void stop() {
         EndpointDaemon stopping = daemon();
         stopping.stop();
@@ -119,13 +122,13 @@
         }
     }
 
-    /** Kills the daemon. The platform's list still shows the VM. */
+    /** Kills the daemon without a graceful shutdown. The platform's list still shows the VM. */
     public synchronized void crash() {
         daemon.ifPresent(EndpointDaemon::abort);
         daemon = Optional.empty();
     }
 
-    /** Takes the VM off the platform's list. */
+    /** Removes the VM from the platform's list. */
     public void unlist() {
         site.platform().unlist(name);
     }
--- a/cli/src/main/java/org/quetzalseam/cli/site/EntryVm.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/EntryVm.java
@@ -8,7 +8,7 @@
 import org.quetzalseam.standins.PlatformStandIn.ListedVm;
 import org.quetzalseam.wire.message.Role;
 
-/** An entry VM. Thread-safe. */
+/** An entry VM with its daemon. Thread-safe. */
 public final class EntryVm {
     private final String name;
     private final String zone;
@@ -28,22 +28,22 @@
         return name;
     }
 
-    /** Returns the running daemon. */
+    /** Returns the running daemon. Throws if it is not running. */
     public synchronized EntryDaemon daemon() {
         return daemon.orElseThrow();
     }
 
-    /** Returns whether the balancer sends callers here. */
+    /** Returns whether the load balancer sends callers to this entry. */
     public boolean running() {
         return ready;
     }
 
-    /** Returns the callers' address. */
+    /** Returns the base URL for callers. */
     public String url() {
         return "http://127.0.0.1:" + port;
     }
 
-    /** Returns the operators' address. */
+    /** Returns the base URL of the operator interface. */
     public String operatorUrl() {
         return "http://127.0.0.1:" + daemon().operatorPort();
     }
@@ -62,7 +62,7 @@
                 + Site.section("timing", site.options().timing());
     }
 
-    /** Starts the daemon and puts the VM on the platform's list. */
+    /** Starts the daemon and adds the VM to the platform's list. */
     public synchronized void start() {
         SettingsReader.Result read = SettingsReader.read(Role.ENTRY, name, settings());
         List<Problem> problems = read.problems();
@@ -77,7 +77,7 @@
         site.platform().list(new ListedVm(name, "entry", zone, "", started.port(), started.operatorPort(), false));
     }
 
-    /** Stops the daemon as planned; the balancer sends nobody there from the start of it. */
+    /** Shuts the daemon down gracefully. The load balancer sends no callers to it as soon as the shutdown begins. */
     public void stop() {
         ready = false;
         EntryDaemon stopping = daemon();
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Kills the daemon. */
+    /** Kills the daemon without a graceful shutdown. */
     public synchronized void crash() {
         ready = false;
         daemon.ifPresent(EntryDaemon::abort);
--- a/cli/src/main/java/org/quetzalseam/cli/site/Site.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/Site.java
@@ -20,8 +20,8 @@
 import org.quetzalseam.wire.runtime.Service;
 
 /**
- * A whole deployment in one JVM: the real daemons over loopback sockets, and stand-ins for the platform, the engines and
- * the services. Thread-safe once started.
+ * A complete deployment in one JVM: the real daemons over loopback sockets, and stand-ins for the platform, the engines
+ * and the services. Thread-safe once started.
  */
 public final class Site implements Service {
     private static final Pattern MILLIS = Pattern.compile("(?m)^(\\S+-ms\\s*=\\s*)(\\d+)");
@@ -63,7 +63,7 @@
         awaitCatalogue(version);
     }
 
-    /** Returns the deployment's catalogue, with its times divided by the site's speed. */
+    /** Returns the deployment's catalogue files, with all times ({@code -ms}) divided by the site's speed, at least 1 ms. */
     public Map<String, String> catalogue() {
         Map<String, String> files = new TreeMap<>();
         deployment.catalogue().forEach((name, text) -> files.put(name, scaled(text)));
@@ -76,14 +76,14 @@
                 match.group(1) + Math.max(1, Math.round(Integer.parseInt(match.group(2)) / options.speed())));
     }
 
-    /** Proposes a catalogue and returns the version it will have when it is accepted. */
+    /** Proposes a catalogue and returns the version that it gets if it is accepted. */
     public long apply(Map<String, String> files) {
         CatalogueStore store = new CatalogueStore(new HttpObjectStore(platform.url()));
         Manifest accepted = store.accepted().value();
         return store.propose(files, accepted.version(), "site").version();
     }
 
-    /** Waits until every entry runs a version of the catalogue and has reached every endpoint. */
+    /** Waits until every entry runs this or a later catalogue version and is connected to every endpoint. */
     public void awaitCatalogue(long version) {
         Wait.until(
                 START_LIMIT,
@@ -93,27 +93,27 @@
                                 && entry.daemon().connectedEndpoints() == endpoints.size()));
     }
 
-    /** Returns what the site consists of. */
+    /** Returns the deployment that the site runs. */
     public Deployment deployment() {
         return deployment;
     }
 
-    /** Returns how the site is run. */
+    /** Returns the options of the site. */
     public SiteOptions options() {
         return options;
     }
 
-    /** Returns the platform. */
+    /** Returns the platform stand-in. */
     public PlatformStandIn platform() {
         return platform;
     }
 
-    /** Returns the KV caches of all engines. */
+    /** Returns the registry of the KV caches of all engines. */
     public KvRegistry registry() {
         return registry;
     }
 
-    /** Returns what the services have executed. */
+    /** Returns the record of the calls that the services have executed. */
     public ServiceStandIn.Ledger ledger() {
         return ledger;
     }
@@ -133,7 +133,7 @@
         return List.copyOf(entries);
     }
 
-    /** Returns the addresses of the entries that listen now. */
+    /** Returns the base URLs of the running entries. */
     public List<String> entryUrls() {
         return entries.stream().filter(EntryVm::running).map(EntryVm::url).toList();
     }
@@ -154,7 +154,7 @@
         platform.stop();
     }
 
-    /** Returns the settings of a section as INI lines. */
+    /** Returns a settings section as INI text. */
     static String section(String name, Map<String, String> values) {
         StringBuilder text = new StringBuilder("[" + name + "]\n");
         values.forEach(
@@ -162,7 +162,7 @@
         return text.toString();
     }
 
-    /** Returns an entry to call, in turn by number; waits for one while none runs. */
+    /** Returns a running entry, chosen round-robin by the given number. Waits while no entry is running. */
     public EntryVm entry(long number) {
         Wait.until(START_LIMIT, "a running entry", () -> entries.stream().anyMatch(EntryVm::running));
         List<EntryVm> running = entries.stream().filter(EntryVm::running).toList();
--- a/cli/src/main/java/org/quetzalseam/cli/site/SiteOptions.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/SiteOptions.java
@@ -4,10 +4,10 @@
 import java.util.TreeMap;
 
 /**
- * How a site is to be run. Immutable. Start from {@link #defaults()}.
+ * Options of a site. Immutable. Start from {@link #defaults()}.
  *
- * @param speed how many times faster than real engines work and targets are
- * @param proxied whether connections between processes go through proxies that can fail
+ * @param speed factor by which engines are faster, and targets shorter, than real ones
+ * @param proxied whether connections between processes go through proxies that can inject network faults
  * @param policy settings of the section {@code [policy]}
  * @param timing settings of the section {@code [timing]}
  */
@@ -18,12 +18,12 @@
         timing = Map.copyOf(timing);
     }
 
-    /** Returns the options of a site at real speed with default settings. */
+    /** Returns the options for real speed, no proxies and default settings. */
     public static SiteOptions defaults() {
         return new SiteOptions(1, false, Map.of(), Map.of());
     }
 
-    /** Returns these options with another speed. */
+    /** Returns these options with the given speed. */
     public SiteOptions withSpeed(double factor) {
         return new SiteOptions(factor, proxied, policy, timing);
     }
@@ -33,12 +33,12 @@
         return new SiteOptions(speed, true, policy, timing);
     }
 
-    /** Returns these options with a setting of the section {@code [policy]}. */
+    /** Returns these options with one more setting of the section {@code [policy]}. */
     public SiteOptions withPolicy(String key, String value) {
         return new SiteOptions(speed, proxied, with(policy, key, value), timing);
     }
 
-    /** Returns these options with a setting of the section {@code [timing]}. */
+    /** Returns these options with one more setting of the section {@code [timing]}. */
     public SiteOptions withTiming(String key, String value) {
         return new SiteOptions(speed, proxied, policy, with(timing, key, value));
     }
--- a/cli/src/main/java/org/quetzalseam/cli/site/Traffic.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/Traffic.java
@@ -5,15 +5,15 @@
 import org.quetzalseam.core.catalogue.Route;
 
 /**
- * One kind of requests that a deployment's callers send. Immutable.
+ * A kind of requests that a deployment's callers send. Immutable.
  *
- * @param name its name
- * @param owners who sends it; the first sends twice as much as the others
- * @param route where it goes
- * @param workClass the class of work
- * @param ratePerSecond requests a second at load 1.0
- * @param promptTokens lengths of prompts, for models
- * @param outputTokens lengths of answers, for models
+ * @param name name of the kind
+ * @param owners owners that send it; the first sends twice as much as each of the others
+ * @param route route that the requests are sent to
+ * @param workClass class of work
+ * @param ratePerSecond requests per second at load 1.0
+ * @param promptTokens range of prompt lengths, for models
+ * @param outputTokens range of output lengths, for models
  * @param method HTTP method, for services
  * @param keyed whether requests carry an idempotency key
  */
@@ -32,7 +32,7 @@
         owners = List.copyOf(owners);
     }
 
-    /** Returns the same traffic with everything arriving {@code factor} times as fast. */
+    /** Returns the same traffic with its rate multiplied by {@code factor}. */
     public Traffic faster(double factor) {
         return new Traffic(
                 name, owners, route, workClass, ratePerSecond * factor, promptTokens, outputTokens, method, keyed);
--- a/cli/src/main/java/org/quetzalseam/cli/site/package-info.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/package-info.java
@@ -1,4 +1,4 @@
-/** A whole deployment in one JVM, with stand-ins for what is not quetzalseam's. */
+/** A complete deployment in one JVM, with stand-ins for the platform, the engines and the services. */
 @NullMarked
 package org.quetzalseam.cli.site;
 
