--- a/cli/src/main/java/org/quetzalseam/cli/load/Told.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/CallerOutcome.java
@@ -1,7 +1,7 @@
 package org.quetzalseam.cli.load;
 
 /** Outcome of a request as its caller learned it from the response or from the connection. */
-public enum Told {
+public enum CallerOutcome {
     /** The caller received the complete answer to its own request. */
     ANSWERED,
     /** The response states that the request was not run. */
--- a/cli/src/main/java/org/quetzalseam/cli/load/Planned.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/PlannedRequest.java
@@ -12,4 +12,5 @@
  * @param promptTokens prompt length in tokens
  * @param outputTokens output length in tokens
  */
-public record Planned(long number, long atNanos, Traffic traffic, String owner, int promptTokens, int outputTokens) {}
+public record PlannedRequest(
+        long number, long atNanos, Traffic traffic, String owner, int promptTokens, int outputTokens) {}
--- a/cli/src/main/java/org/quetzalseam/cli/load/Sample.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Sample.java
@@ -8,7 +8,7 @@
  * @param traffic kind of the request
  * @param owner owner that sent it
  * @param businessId id under which services count executions
- * @param told what the caller learned of the request
+ * @param outcome what the caller learned of the request
  * @param code machine-readable reason, empty when answered
  * @param status HTTP status, 0 when there was none
  * @param retryAfter whether a refusal carried a {@code Retry-After} header
@@ -20,7 +20,7 @@
         Traffic traffic,
         String owner,
         String businessId,
-        Told told,
+        CallerOutcome outcome,
         String code,
         int status,
         boolean retryAfter,
--- a/cli/src/main/java/org/quetzalseam/cli/operate/Processes.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/Processes.java
@@ -26,7 +26,7 @@
      * @param vm the VM that the process runs on
      * @param status its response to {@code /status}, or empty if it gave none
      */
-    record Seen(Vm vm, Optional<JsonNode> status) {
+    record ProcessStatus(Vm vm, Optional<JsonNode> status) {
         /** Returns the version of the catalogue that the process runs or forwards, or empty if it did not respond. */
         Optional<Long> catalogue() {
             return status.map(node -> node.path("catalogue").asLong());
@@ -37,25 +37,25 @@
             HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
 
     /** Returns all listed processes, including those that did not respond. */
-    List<Seen> all(ObjectStore store) {
+    List<ProcessStatus> all(ObjectStore store) {
         return store.members(0, Duration.ZERO).vms().parallelStream()
-                .map(this::ask)
+                .map(this::fetchStatus)
                 .toList();
     }
 
     /** Returns all listed entries, including those that did not respond. */
-    List<Seen> entries(ObjectStore store) {
+    List<ProcessStatus> entries(ObjectStore store) {
         return all(store).stream()
                 .filter(seen -> seen.vm().role() == Role.ENTRY)
                 .toList();
     }
 
-    private Seen ask(Vm vm) {
-        return new Seen(vm, get(vm, "/status"));
+    private ProcessStatus fetchStatus(Vm vm) {
+        return new ProcessStatus(vm, fetch(vm, "/status"));
     }
 
     /** Returns the JSON response of a process to a GET request, or empty if the request failed or timed out. */
-    Optional<JsonNode> get(Vm vm, String path) {
+    Optional<JsonNode> fetch(Vm vm, String path) {
         URI uri = URI.create("http://" + vm.host() + ":" + vm.operatorPort() + path);
         try {
             HttpResponse<byte[]> response =
--- a/cli/src/main/java/org/quetzalseam/cli/site/Wait.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/Wait.java
@@ -22,7 +22,7 @@
     }
 
     /** Sleeps for the given time, or until the thread is interrupted. Leaves the interrupt flag set. */
-    public static void pass(Duration time) {
+    public static void sleep(Duration time) {
         long end = System.nanoTime() + time.toNanos();
         long left = time.toNanos();
         while (left > 0 && !Thread.currentThread().isInterrupted()) {
