--- a/cli/src/main/java/org/quetzalseam/cli/fault/Fault.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/Fault.java
@@ -15,7 +15,7 @@
 import org.quetzalseam.daemon.platform.StoreException;
 import org.quetzalseam.daemon.settings.Settings.BackendKind;
 
-/** A kind of fault that can be brought about at a site. Each lasts for a while and is then over. */
+/** A kind of fault that can be injected into a site. Each ends by itself after a while. */
 enum Fault {
     /** The connections to an endpoint are cut. */
     CUT {
@@ -24,7 +24,7 @@
             anyEndpoint(site, random).proxy().cut();
         }
     },
-    /** The network to an endpoint holds everything back for a while, as when the process is paused. */
+    /** The network to an endpoint delays all data for a while, as if the process were paused. */
     FREEZE {
         @Override
         void inject(Site site, SplittableRandom random) {
@@ -34,7 +34,7 @@
             vm.proxy().freeze(false);
         }
     },
-    /** An endpoint can't be reached for a while. */
+    /** An endpoint is unreachable for a while. */
     PARTITION {
         @Override
         void inject(Site site, SplittableRandom random) {
@@ -44,7 +44,7 @@
             vm.proxy().partition(false);
         }
     },
-    /** An endpoint's process dies and is started again. */
+    /** An endpoint's process is killed and restarted. */
     ENDPOINT_CRASH {
         @Override
         void inject(Site site, SplittableRandom random) {
@@ -54,7 +54,7 @@
             vm.start();
         }
     },
-    /** An endpoint's process is stopped as planned and started again. */
+    /** An endpoint's process is shut down gracefully and restarted. */
     ENDPOINT_STOP {
         @Override
         void inject(Site site, SplittableRandom random) {
@@ -63,7 +63,7 @@
             vm.start();
         }
     },
-    /** An entry's process dies and is started again. */
+    /** An entry's process is killed and restarted. */
     ENTRY_CRASH {
         @Override
         void inject(Site site, SplittableRandom random) {
@@ -73,7 +73,7 @@
             vm.start();
         }
     },
-    /** An entry's process is stopped as planned and started again. */
+    /** An entry's process is shut down gracefully and restarted. */
     ENTRY_STOP {
         @Override
         void inject(Site site, SplittableRandom random) {
@@ -100,7 +100,7 @@
             site.platform().slow(0);
         }
     },
-    /** Two operators change the catalogue at once, and the answers to some writes are lost. */
+    /** Two operators propose conflicting catalogue changes, and the responses to some writes are lost. */
     CATALOGUE_RACE {
         @Override
         void inject(Site site, SplittableRandom random) {
@@ -113,12 +113,12 @@
                 try {
                     store.propose(files, store.accepted().value().version(), "fault");
                 } catch (CatalogueException | StoreException expected) {
-                    // A conflict or an outage: the operator would be told and try again.
+                    // A conflict or an outage: an operator would see the error and retry.
                 }
             }
         }
     },
-    /** The platform's store is set back to an older accepted catalogue. */
+    /** The platform's store reverts to an older accepted catalogue. */
     STORE_REVERT {
         @Override
         void inject(Site site, SplittableRandom random) {
@@ -143,7 +143,7 @@
             vm.backend().engine().refuse(false);
         }
     },
-    /** A service executes calls and breaks off without an answer for a while. */
+    /** For a while, a service executes calls but closes the connections without a response. */
     SERVICE_BREAKS_OFF {
         @Override
         void inject(Site site, SplittableRandom random) {
@@ -157,7 +157,7 @@
         }
     };
 
-    /** Brings the fault about and returns when it is over. */
+    /** Injects the fault and returns when it is over. */
     abstract void inject(Site site, SplittableRandom random);
 
     private static EndpointVm anyEndpoint(Site site, SplittableRandom random) {
--- a/cli/src/main/java/org/quetzalseam/cli/fault/FaultRun.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/FaultRun.java
@@ -27,8 +27,9 @@
 import org.quetzalseam.cli.site.Wait;
 
 /**
- * Sends traffic to a site while faults come and go at random, two kinds at a time and more, then lets the site settle and
- * compares what callers were told with what services executed, what engines hold, and what catalogue is in force.
+ * Sends traffic to a site while random faults are injected, two or more kinds at a time. Then waits until the site
+ * settles, and compares the outcomes that callers learned with the calls that services executed, the memory that
+ * engines hold, and the catalogue that is in force.
  */
 public final class FaultRun {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -41,10 +42,10 @@
     private static final List<Fault> KINDS = List.of(Fault.values());
 
     /**
-     * What a run brought. Immutable.
+     * The result of a run. Immutable.
      *
-     * @param report what callers experienced, with all broken promises
-     * @param faults how often each kind of fault was brought about
+     * @param report what callers experienced, with all violated guarantees
+     * @param faults number of injected faults by kind
      */
     public record Result(Report report, Map<String, Integer> faults) {
         /** Copies the map. */
@@ -62,7 +63,7 @@
     private final VersionWatch versions;
     private volatile boolean finished;
 
-    /** Creates a run of a deployment. */
+    /** Creates a fault run on a bundled deployment. */
     public FaultRun(String deployment, long seed, double seconds) {
         this.seed = seed;
         this.seconds = seconds;
@@ -79,7 +80,7 @@
         }
     }
 
-    /** Runs it all and returns the result. */
+    /** Starts the site, executes the run, stops the site, and returns the result. */
     public Result run() {
         site.start();
         try {
@@ -148,7 +149,7 @@
         }
     }
 
-    /** One process at a time is stopped or killed by these; all other faults come on top of it. */
+    /** Returns whether the fault stops or kills a process. Only one such fault runs at a time, beside any others. */
     private static boolean stopsProcess(Fault fault) {
         return switch (fault) {
             case ENDPOINT_CRASH, ENDPOINT_STOP, ENTRY_CRASH, ENTRY_STOP -> true;
@@ -156,7 +157,7 @@
         };
     }
 
-    /** Waits until the site is at rest and returns what isn't as it must be. */
+    /** Waits until the site settles and returns the violations that remain. */
     private List<String> settle() {
         List<String> violations = new ArrayList<>();
         check(
--- a/cli/src/main/java/org/quetzalseam/cli/fault/VersionWatch.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/VersionWatch.java
@@ -11,12 +11,12 @@
 import org.quetzalseam.cli.site.Wait;
 import org.quetzalseam.daemon.EntryDaemon;
 
-/** Watches that no process ever goes back to an older catalogue. Thread-safe. */
+/** Records a violation whenever an entry process reverts to an older catalogue version. Thread-safe. */
 final class VersionWatch {
     private static final Duration INTERVAL = Duration.ofMillis(10);
 
     private final Site site;
-    private final Map<EntryDaemon, Long> seen = new HashMap<>();
+    private final Map<EntryDaemon, Long> lastVersions = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private final Thread thread = new Thread(this::watch, "version-watch");
     private long highest;
@@ -42,15 +42,15 @@
         try {
             daemon = vm.daemon();
         } catch (NoSuchElementException expected) {
-            // It is down just now.
+            // The entry is down at the moment.
             return;
         }
         long version = daemon.catalogueVersion();
-        long before = seen.getOrDefault(daemon, 0L);
+        long before = lastVersions.getOrDefault(daemon, 0L);
         if (version < before) {
             violations.add(vm.name() + " went back from version " + before + " to " + version);
         }
-        seen.put(daemon, version);
+        lastVersions.put(daemon, version);
         highest = Math.max(highest, version);
     }
 
--- a/cli/src/main/java/org/quetzalseam/cli/fault/package-info.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/package-info.java
@@ -1,4 +1,4 @@
-/** Runs with random faults, and the check that no promise was broken in them. */
+/** Runs under random injected faults, and the checks that no guarantee was violated. */
 @NullMarked
 package org.quetzalseam.cli.fault;
 
--- a/cli/src/main/java/org/quetzalseam/cli/load/Caller.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Caller.java
@@ -90,21 +90,21 @@
     /** Sends a request with the given idempotency key, which is ignored unless the traffic is keyed. */
     public Sample send(
             PlannedRequest planned, String entryUrl, long intended, String runId, int hangUpAfter, String key) {
-        Attempt current = new Attempt(intended);
+        Attempt attempt = new Attempt(intended);
         String businessId = runId + "-" + planned.number();
         boolean model = planned.traffic().route().kind() == Route.Kind.MODEL;
         try {
             if (model) {
-                complete(planned, entryUrl, businessId, current, hangUpAfter);
+                sendCompletion(planned, entryUrl, businessId, attempt, hangUpAfter);
             } else {
-                call(planned, entryUrl, businessId, key, current);
+                callService(planned, entryUrl, businessId, key, attempt);
             }
         } catch (IOException e) {
-            current.code = "connection";
+            attempt.code = "connection";
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return current.sample(planned, businessId);
+        return attempt.sample(planned, businessId);
     }
 
     private static HttpRequest.Builder request(PlannedRequest planned, String url) {
@@ -119,7 +119,8 @@
         return words.repeat(length / words.length() + 1).substring(0, Math.max(length, words.length()));
     }
 
-    private void complete(PlannedRequest planned, String entryUrl, String businessId, Attempt current, int hangUpAfter)
+    private void sendCompletion(
+            PlannedRequest planned, String entryUrl, String businessId, Attempt attempt, int hangUpAfter)
             throws IOException, InterruptedException {
         String prompt = prompt(businessId, planned.promptTokens());
         ObjectNode body = Json.object()
@@ -131,70 +132,70 @@
                 .POST(BodyPublishers.ofByteArray(Json.write(body)))
                 .build();
         HttpResponse<InputStream> response = client.send(post, BodyHandlers.ofInputStream());
-        current.status = response.statusCode();
+        attempt.status = response.statusCode();
         try (InputStream in = response.body()) {
             if (response.statusCode() != OK) {
-                refused(response, in.readAllBytes(), current);
+                recordRefusal(response, in.readAllBytes(), attempt);
                 return;
             }
             BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
-            stream(lines, Integer.toHexString(prompt.hashCode()), planned.outputTokens(), current, hangUpAfter);
+            readStream(lines, Integer.toHexString(prompt.hashCode()), planned.outputTokens(), attempt, hangUpAfter);
         }
     }
 
-    private static void stream(BufferedReader lines, String hash, int expected, Attempt current, int hangUpAfter)
+    private static void readStream(BufferedReader lines, String hash, int expected, Attempt attempt, int hangUpAfter)
             throws IOException {
         String line = lines.readLine();
         while (line != null) {
-            if (hangUpAfter >= 0 && current.outputs >= hangUpAfter) {
-                current.outcome = CallerOutcome.HUNG_UP;
+            if (hangUpAfter >= 0 && attempt.outputs >= hangUpAfter) {
+                attempt.outcome = CallerOutcome.HUNG_UP;
                 return;
             }
             if (line.equals(DATA + "[DONE]")) {
-                current.outcome = current.outputs == expected ? CallerOutcome.ANSWERED : CallerOutcome.WRONG;
+                attempt.outcome = attempt.outputs == expected ? CallerOutcome.ANSWERED : CallerOutcome.WRONG;
                 return;
             }
-            if (line.startsWith(DATA) && !event(line.substring(DATA.length()), hash, current)) {
+            if (line.startsWith(DATA) && !acceptEvent(line.substring(DATA.length()), hash, attempt)) {
                 return;
             }
             line = lines.readLine();
         }
     }
 
-    private static boolean event(String data, String hash, Attempt current) throws IOException {
+    private static boolean acceptEvent(String data, String hash, Attempt attempt) throws IOException {
         JsonNode node = Json.read(data.getBytes(StandardCharsets.UTF_8));
         if (node.has("error")) {
-            error(node, current);
+            recordError(node, attempt);
             return false;
         }
         String text = node.path("choices").path(0).path("text").asText().strip();
         if (text.isEmpty()) {
             return true;
         }
-        if (!text.equals(hash + ":" + current.outputs)) {
-            current.outcome = CallerOutcome.WRONG;
+        if (!text.equals(hash + ":" + attempt.outputs)) {
+            attempt.outcome = CallerOutcome.WRONG;
             return false;
         }
-        current.output();
+        attempt.output();
         return true;
     }
 
-    private static void refused(HttpResponse<?> response, byte[] body, Attempt current) throws IOException {
-        current.retryAfter = response.headers().firstValue("Retry-After").isPresent();
-        error(Json.read(body), current);
+    private static void recordRefusal(HttpResponse<?> response, byte[] body, Attempt attempt) throws IOException {
+        attempt.retryAfter = response.headers().firstValue("Retry-After").isPresent();
+        recordError(Json.read(body), attempt);
     }
 
-    private static void error(JsonNode node, Attempt current) {
+    private static void recordError(JsonNode node, Attempt attempt) {
         JsonNode error = node.path("error");
-        current.code = error.path("code").asText();
-        current.outcome = switch (error.path("outcome").asText()) {
+        attempt.code = error.path("code").asText();
+        attempt.outcome = switch (error.path("outcome").asText()) {
             case "not-run" -> CallerOutcome.NOT_RUN;
             case "incomplete" -> CallerOutcome.INCOMPLETE;
             default -> CallerOutcome.UNKNOWN;
         };
     }
 
-    private void call(PlannedRequest planned, String entryUrl, String businessId, String key, Attempt current)
+    private void callService(PlannedRequest planned, String entryUrl, String businessId, String key, Attempt attempt)
             throws IOException, InterruptedException {
         String path = "/services/" + planned.traffic().route().name() + "/lots/" + planned.number();
         HttpRequest.Builder builder = request(planned, entryUrl + path)
@@ -204,13 +205,13 @@
             builder.header("Idempotency-Key", key);
         }
         HttpResponse<byte[]> response = client.send(builder.build(), BodyHandlers.ofByteArray());
-        current.status = response.statusCode();
+        attempt.status = response.statusCode();
         if (response.statusCode() != OK) {
-            refused(response, response.body(), current);
+            recordRefusal(response, response.body(), attempt);
             return;
         }
         boolean own = Json.read(response.body()).path("id").asText().equals(businessId);
-        current.outcome = own ? CallerOutcome.ANSWERED : CallerOutcome.WRONG;
-        current.output();
+        attempt.outcome = own ? CallerOutcome.ANSWERED : CallerOutcome.WRONG;
+        attempt.output();
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/load/LoadRun.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/LoadRun.java
@@ -40,7 +40,7 @@
         this(site, runId, hangUpShare, 1);
     }
 
-    /** Creates a run whose callers send a keyed request up to {@code maxAttempts} times with the same key. */
+    /** Creates a run whose callers send a keyed request up to {@code maxAttempts} times with one key. */
     public LoadRun(Site site, String runId, double hangUpShare, int tries) {
         this.maxAttempts = tries;
         this.site = site;
@@ -78,17 +78,17 @@
         String key = Uuid7.next(runId + planned.number());
         Sample sample = sendOnce(planned, at, hangUp, key, 0);
         // A caller with a key retries with the same key at another entry until it is answered, up to the limit.
-        for (int again = 1;
-                again < maxAttempts && planned.traffic().keyed() && sample.outcome() != CallerOutcome.ANSWERED;
-                again++) {
+        for (int attempt = 1;
+                attempt < maxAttempts && planned.traffic().keyed() && sample.outcome() != CallerOutcome.ANSWERED;
+                attempt++) {
             Wait.sleep(RETRY_PAUSE);
-            sample = sendOnce(planned, at, hangUp, key, again);
+            sample = sendOnce(planned, at, hangUp, key, attempt);
         }
         samples.add(sample);
     }
 
-    private Sample sendOnce(PlannedRequest planned, long at, int hangUp, String key, int again) {
-        String url = site.entry(planned.number() + again).url();
+    private Sample sendOnce(PlannedRequest planned, long at, int hangUp, String key, int attempt) {
+        String url = site.entry(planned.number() + attempt).url();
         return caller.send(planned, url, at, runId, hangUp, key);
     }
 
--- a/cli/src/main/java/org/quetzalseam/cli/load/Report.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Report.java
@@ -61,7 +61,7 @@
         List<String> violations = new ArrayList<>();
         for (Sample sample : samples) {
             if (sample.outcome() == CallerOutcome.WRONG) {
-                violations.add(sample.businessId() + ": the answer was not whole, or another request's");
+                violations.add(sample.businessId() + ": the answer was incomplete or belongs to another request");
             }
             boolean counted = sample.traffic().route().kind() == Route.Kind.SERVICE;
             if (counted) {
@@ -77,7 +77,7 @@
 
     private static void check(Sample sample, int runs, boolean idempotent, List<String> violations) {
         if (sample.outcome() == CallerOutcome.NOT_RUN && runs > 0) {
-            violations.add(sample.businessId() + ": told not run, but ran " + runs + " times");
+            violations.add(sample.businessId() + ": reported as not run, but ran " + runs + " times");
         }
         if (sample.outcome() == CallerOutcome.ANSWERED && runs == 0) {
             violations.add(sample.businessId() + ": answered, but never ran");
--- a/cli/src/main/java/org/quetzalseam/cli/load/Summary.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Summary.java
@@ -83,7 +83,8 @@
                 micros.getValueAtPercentile(TAIL) / MICROS_PER_MILLI);
     }
 
-    private static int count(List<Sample> samples, CallerOutcome told) {
-        return (int) samples.stream().filter(sample -> sample.outcome() == told).count();
+    private static int count(List<Sample> samples, CallerOutcome outcome) {
+        return (int)
+                samples.stream().filter(sample -> sample.outcome() == outcome).count();
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/measure/AddedTime.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/AddedTime.java
@@ -23,8 +23,8 @@
 import org.quetzalseam.daemon.settings.Settings.BackendKind;
 
 /**
- * Measures what the router adds to a short call: calls through an entry and calls straight to the service in turn, at a
- * fixed rate, each timed from its intended start. Used by one thread.
+ * Measures the time that the router adds to a short call. Sends calls through an entry and directly to the service in
+ * turn, at a fixed rate, each timed from its scheduled start. For use by a single thread.
  */
 public final class AddedTime {
     private static final double MICROS_PER_MILLI = 1000;
@@ -41,14 +41,14 @@
     private final Histogram routed = new SynchronizedHistogram(3);
     private final Histogram direct = new SynchronizedHistogram(3);
 
-    /** Creates a measurement at {@code perSecond} calls through the router, and as many straight to the service. */
+    /** Creates a measurement with {@code perSecond} calls through the router and as many directly to the service. */
     public AddedTime(String deployment, double perSecond, double seconds) {
         this.deployment = deployment;
         this.perSecond = perSecond;
         this.seconds = seconds;
     }
 
-    /** Measures, and prints the quantiles of both. */
+    /** Runs the measurement, and prints the quantiles of both kinds of calls and their differences. */
     public void run(PrintWriter out) {
         Site site = new Site(Deployment.bundled(deployment), SiteOptions.defaults());
         site.start();
@@ -85,13 +85,13 @@
                 .filter(vm -> vm.pool().kind() == BackendKind.SERVICE)
                 .findFirst()
                 .orElseThrow();
-        HttpRequest through = HttpRequest.newBuilder(URI.create(
+        HttpRequest routedCall = HttpRequest.newBuilder(URI.create(
                         site.entry(0).url() + "/services/" + lookups.route().name() + "/lots/1"))
                 .header(
                         "Authorization",
                         "Bearer " + Deployment.token(lookups.owners().get(0)))
                 .build();
-        HttpRequest straight = HttpRequest.newBuilder(
+        HttpRequest directCall = HttpRequest.newBuilder(
                         URI.create(service.backend().service().url() + "/lots/1"))
                 .build();
         ExecutorService threads = Executors.newFixedThreadPool(THREADS);
@@ -101,8 +101,8 @@
             long at = start + (long) (i / perSecond * 1e9);
             boolean counted = i > count * WARM_UP_SHARE;
             pause(at);
-            threads.execute(() -> time(through, at, routed, counted));
-            threads.execute(() -> time(straight, at, direct, counted));
+            threads.execute(() -> time(routedCall, at, routed, counted));
+            threads.execute(() -> time(directCall, at, direct, counted));
         }
         threads.shutdown();
         try {
@@ -129,7 +129,7 @@
                 histogram.recordValue((System.nanoTime() - at) / NANOS_PER_MICRO);
             }
         } catch (IOException expected) {
-            // A call that failed isn't counted; the counts are printed.
+            // Failed calls are not counted; the output shows the counts.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/cli/src/main/java/org/quetzalseam/cli/measure/Capacity.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Capacity.java
@@ -34,7 +34,7 @@
 import org.quetzalseam.wire.message.SiteState;
 import org.quetzalseam.wire.message.Vm;
 
-/** Measures what state, messages and requests cost, each at three sizes or more. Used by one thread. */
+/** Measures the cost of state, messages, links and requests, each at several sizes. For use by a single thread. */
 public final class Capacity {
     private static final OperatingSystemMXBean PROCESS =
             (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
@@ -43,7 +43,7 @@
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int FRAME_HEADER = 4;
 
-    /** Measures everything and prints it; takes about two minutes. */
+    /** Runs all measurements and prints the results. Takes about two minutes. */
     public void run(PrintWriter out) {
         catalogue(out);
         messages(out);
@@ -152,7 +152,9 @@
         return new Deployment("slope", full.zones(), 1, pools, full.traffic(), full.catalogue());
     }
 
-    /** Idle links: both ends of each are in this process, so a daemon bears about half of what is measured. */
+    /**
+     * Measures idle links. Both ends of each link are in this process, so a daemon bears about half of the measured cost.
+     */
     private static void links(PrintWriter out) {
         out.println("idle links: endpoints, links, percent of a core for all, threads, bytes on heap");
         for (int decoders : new int[] {2, 10, 30}) {
@@ -178,7 +180,10 @@
         }
     }
 
-    /** Whole path with callers, daemons and stand-ins in this process: an upper bound for the daemons. */
+    /**
+     * Measures the complete path of requests. Callers, daemons and stand-ins all run in this process, so the result is an
+     * upper bound for the daemons.
+     */
     private static void requests(PrintWriter out) {
         out.println("requests: kind, a second, outputs each, core-ms a request for everything in the process");
         for (double rate : new double[] {50, 200, 800}) {
--- a/cli/src/main/java/org/quetzalseam/cli/measure/Comparison.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Comparison.java
@@ -17,15 +17,15 @@
 
 /**
  * Runs policies in turn on the same arrivals: A and B at the first load with the first seed, then with the second, and so
- * on, so that a drift of the machine's speed meets both. Immutable.
+ * on, so that a drift of the machine's speed affects both. Immutable.
  *
  * @param deployment name of the deployment
- * @param speed how many times faster than real
- * @param seconds length of each run
+ * @param speed speed of the stand-ins, as a multiple of real engines
+ * @param seconds duration of each run
  * @param loads offered loads
  * @param seeds seeds of the arrivals
  * @param policies names of the policies
- * @param kill whether one decode endpoint dies in the middle of each run
+ * @param kill whether one decode endpoint is killed in the middle of each run
  */
 public record Comparison(
         String deployment,
@@ -42,7 +42,7 @@
         policies = List.copyOf(policies);
     }
 
-    /** Runs it all; {@code progress} is given each result as it comes. */
+    /** Executes all runs and returns their results. Passes each result to {@code progress} as soon as it is available. */
     public List<Measured> run(Consumer<Measured> progress) {
         List<Measured> results = new ArrayList<>();
         for (double load : loads) {
--- a/cli/src/main/java/org/quetzalseam/cli/measure/ComparisonTable.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/ComparisonTable.java
@@ -6,13 +6,13 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** Prints what a comparison brought: each policy's median and spread over seeds, and ratios to the first. Stateless. */
+/** Prints the results of a comparison: medians and spread over seeds, and ratios to the last policy. Stateless. */
 public final class ComparisonTable {
     private static final double PERCENT = 100;
 
     private ComparisonTable() {}
 
-    /** Prints the table. */
+    /** Prints one row per load and policy. The last policy is the baseline of the ratios. */
     public static void print(List<Measured> results, PrintWriter out) {
         out.printf(
                 "%-5s %-15s %22s %8s %16s %12s %12s %6s %10s%n",
--- a/cli/src/main/java/org/quetzalseam/cli/measure/Measured.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Measured.java
@@ -11,20 +11,20 @@
 import org.quetzalseam.core.catalogue.Route;
 
 /**
- * One run of one policy, in the figures that users measure by. Immutable.
+ * Results of one run of one policy. Immutable.
  *
  * @param policy the policy's name
- * @param load the offered load, as a share of what the deployment is sized for
+ * @param load the offered load, as a fraction of the load the deployment is sized for
  * @param seed seed of the arrivals
- * @param sentToModels completions sent
- * @param goodput completions answered within both targets, as a share of those sent
- * @param wastedPercent prefilled prompt tokens that were not used, in percent
- * @param shortWithin short completions answered within the first-output target, as a share of those answered
+ * @param sentToModels number of completions sent
+ * @param goodput completions answered within both targets, as a fraction of those sent
+ * @param wastedPercent percentage of prefilled prompt tokens that were not used
+ * @param shortWithin short completions answered within both targets, as a fraction of those sent
  * @param shortP95 95th percentile of the time to the first output of short completions, in milliseconds
  * @param longP95 the same of long completions
- * @param jain Jain's index of the owners' shares of good long completions
- * @param unanswered completions that were neither answered nor refused
- * @param violations broken promises
+ * @param jain Jain's fairness index of the owners' fractions of good long completions
+ * @param unanswered number of completions whose answers were incomplete or cut off
+ * @param violations number of violated guarantees
  */
 public record Measured(
         String policy,
@@ -86,7 +86,7 @@
                 .orElseThrow();
     }
 
-    /** Returns Jain's index: 1 when all owners fare alike, 1/n when one has everything. */
+    /** Returns Jain's fairness index: 1 if all n owners have equal fractions, 1/n if one owner has everything. */
     private static double jain(Map<String, double[]> owners) {
         double sum = 0;
         double squares = 0;
--- a/cli/src/main/java/org/quetzalseam/cli/measure/Plot.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Plot.java
@@ -23,7 +23,7 @@
 
     private Plot() {}
 
-    /** Writes a PNG with one line for each policy, at the mean over seeds. */
+    /** Writes a PNG with one line per policy, at the mean over seeds. */
     public static void write(List<Measured> results, String title, Path file) {
         CombinedDomainXYPlot both = new CombinedDomainXYPlot(new NumberAxis("offered load"));
         both.add(plot(results, "goodput, %", run -> run.goodput() * PERCENT));
--- a/cli/src/main/java/org/quetzalseam/cli/measure/Policies.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Policies.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.quetzalseam.cli.site.SiteOptions;
 
-/** The policies that can be measured against each other, by name. Stateless. */
+/** The policies that can be compared with each other, by name. Stateless. */
 public final class Policies {
     private static final Map<String, Map<String, String>> SETTINGS = new TreeMap<>(Map.ofEntries(
             entry("default", Map.of()),
@@ -35,12 +35,12 @@
 
     private Policies() {}
 
-    /** Returns the names. */
+    /** Returns the names of all policies. */
     public static List<String> names() {
         return List.copyOf(SETTINGS.keySet());
     }
 
-    /** Returns options with a policy's settings. */
+    /** Returns the options with the settings of the named policy added. */
     static SiteOptions with(SiteOptions options, String name) {
         Map<String, String> settings = SETTINGS.get(name);
         if (settings == null) {
--- a/cli/src/main/java/org/quetzalseam/cli/measure/package-info.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/package-info.java
@@ -1,4 +1,4 @@
-/** Measurements: policies against each other, the router's own time, and what state and messages cost. */
+/** Measurements: comparison of policies, time added by the router, and cost of state, messages and requests. */
 @NullMarked
 package org.quetzalseam.cli.measure;
 
--- a/cli/src/main/java/org/quetzalseam/cli/operate/ApplyCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/ApplyCommand.java
@@ -77,7 +77,7 @@
         while (true) {
             List<Processes.ProcessStatus> entries = processes.entries(store);
             long running = entries.stream()
-                    .filter(seen -> seen.catalogue().orElse(-1L) >= version)
+                    .filter(process -> process.catalogue().orElse(-1L) >= version)
                     .count();
             boolean everywhere = running == entries.size() && !entries.isEmpty();
             if (everywhere || System.nanoTime() - end > 0) {
--- a/cli/src/main/java/org/quetzalseam/cli/operate/CatalogueDirectory.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/CatalogueDirectory.java
@@ -10,8 +10,8 @@
 import java.util.stream.Stream;
 
 /**
- * A directory of catalogue files that operators keep under version control. The file {@code .catalogue-version} holds the
- * accepted version that the files are based on. Not thread-safe.
+ * A directory of catalogue files that operators keep under version control. The file {@code .catalogue-version} holds
+ * the accepted version that the files are based on. Not thread-safe.
  */
 final class CatalogueDirectory {
     private static final String VERSION_FILE = ".catalogue-version";
--- a/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
@@ -19,9 +19,8 @@
 /** Shows what happened to one request, as recorded by the entries or in log files. */
 @Command(
         name = "explain",
-        description =
-                "Shows what happened to the request with the given X-Request-Id, from the records that the entries keep in"
-                        + " memory, or with --log from log files.",
+        description = "Shows what happened to the request with the given X-Request-Id, from the records that entries"
+                + " keep in memory, or with --log from log files.",
         mixinStandardHelpOptions = true)
 public final class ExplainCommand extends PlatformCommand {
     @Parameters(paramLabel = "REQUEST", description = "The request's id.")
--- a/cli/src/main/java/org/quetzalseam/cli/operate/Processes.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/Processes.java
@@ -46,7 +46,7 @@
     /** Returns all listed entries, including those that did not respond. */
     List<ProcessStatus> entries(ObjectStore store) {
         return all(store).stream()
-                .filter(seen -> seen.vm().role() == Role.ENTRY)
+                .filter(process -> process.vm().role() == Role.ENTRY)
                 .toList();
     }
 
--- a/cli/src/main/java/org/quetzalseam/cli/operate/StatusCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/StatusCommand.java
@@ -36,28 +36,31 @@
         List<Processes.ProcessStatus> processes = new Processes().all(store);
         processes.forEach(this::show);
         List<Processes.ProcessStatus> entries = processes.stream()
-                .filter(seen -> seen.vm().role() == Role.ENTRY)
+                .filter(process -> process.vm().role() == Role.ENTRY)
                 .toList();
         long running = entries.stream()
-                .filter(seen -> seen.catalogue().orElse(-1L) == accepted.version())
+                .filter(process -> process.catalogue().orElse(-1L) == accepted.version())
                 .count();
         long unresponsive =
-                entries.stream().filter(seen -> seen.status().isEmpty()).count();
+                entries.stream().filter(process -> process.status().isEmpty()).count();
         out().printf(
                         "version %d is in force at %d of %d entries; %d gave no answer%n",
                         accepted.version(), running, entries.size(), unresponsive);
         return ExitCodes.OK;
     }
 
-    private void show(Processes.ProcessStatus seen) {
-        String status = seen.status()
-                .map(response -> seen.vm().role() == Role.ENTRY
+    private void show(Processes.ProcessStatus process) {
+        String status = process.status()
+                .map(response -> process.vm().role() == Role.ENTRY
                         ? "runs version " + response.path("catalogue").asLong()
                         : response.path("load").path("free").asInt() + " places free, "
                                 + response.path("load").path("queued").asInt() + " waiting")
                 .orElse("no answer");
         out().printf(
                         "  %-28s %-16s %s%s%n",
-                        seen.vm().name(), seen.vm().zone(), status, seen.vm().leaving() ? " (leaving)" : "");
+                        process.vm().name(),
+                        process.vm().zone(),
+                        status,
+                        process.vm().leaving() ? " (leaving)" : "");
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/site/EndpointVm.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/EndpointVm.java
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Starts the daemon and adds the VM to the platform's list. On a site with proxies, the network path delays each chunk of
-     * data in either direction by the given time.
+     * Starts the daemon and adds the VM to the platform's list. On a site with proxies, the network path delays each
+     * chunk of data in either direction by the given time.
      */
     public synchronized void start(long pathDelayMillis) {
         SettingsReader.Result read = SettingsReader.read(Role.ENDPOINT, name, settings());
--- a/cli/src/main/java/org/quetzalseam/cli/site/Site.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/Site.java
@@ -63,7 +63,10 @@
         awaitCatalogue(version);
     }
 
-    /** Returns the deployment's catalogue files, with all times ({@code -ms}) divided by the site's speed, at least 1 ms. */
+    /**
+     * Returns the deployment's catalogue files, with all times ({@code -ms} keys) divided by the site's speed, but at
+     * least 1 ms.
+     */
     public Map<String, String> catalogue() {
         Map<String, String> files = new TreeMap<>();
         deployment.catalogue().forEach((name, text) -> files.put(name, scaled(text)));
