--- a/cli/src/main/java/org/quetzalseam/cli/DemoCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/DemoCommand.java
@@ -120,8 +120,8 @@
 
     private static void keepRunning(Site site, PrintWriter out) {
         EntryVm entry = site.entries().get(0);
-        Traffic model = kind(site, Route.Kind.MODEL);
-        Traffic service = kind(site, Route.Kind.SERVICE);
+        Traffic model = findTraffic(site, Route.Kind.MODEL);
+        Traffic service = findTraffic(site, Route.Kind.SERVICE);
         String token = Deployment.token(model.owners().get(0));
         out.printf("%nTry:%n");
         out.printf(
@@ -138,7 +138,7 @@
         Wait.sleep(Duration.ofDays(1));
     }
 
-    private static Traffic kind(Site site, Route.Kind kind) {
+    private static Traffic findTraffic(Site site, Route.Kind kind) {
         return site.deployment().traffic().stream()
                 .filter(traffic -> traffic.route().kind() == kind)
                 .findFirst()
--- a/cli/src/main/java/org/quetzalseam/cli/fault/FaultRun.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/FaultRun.java
@@ -162,14 +162,14 @@
         List<String> violations = new ArrayList<>();
         check(
                 violations,
-                "engine memory is held for nobody",
+                "engines hold memory or prefill prompts without a request",
                 () -> site.endpoints().stream()
                         .filter(vm -> vm.backend().isEngine())
                         .allMatch(vm -> vm.backend().engine().held() == 0
                                 && vm.backend().engine().prefilling() == 0));
         check(
                 violations,
-                "an endpoint counts places as taken that are not",
+                "an endpoint has queued work or counts free places as occupied",
                 () -> site.endpoints().stream()
                         .filter(EndpointVm::running)
                         .allMatch(vm -> vm.daemon().load().free() == vm.places()
--- a/cli/src/main/java/org/quetzalseam/cli/fault/VersionWatch.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/VersionWatch.java
@@ -48,7 +48,7 @@
         long version = daemon.catalogueVersion();
         long before = lastVersions.getOrDefault(daemon, 0L);
         if (version < before) {
-            violations.add(vm.name() + " went back from version " + before + " to " + version);
+            violations.add(vm.name() + " reverted from version " + before + " to " + version);
         }
         lastVersions.put(daemon, version);
         highest = Math.max(highest, version);
--- a/cli/src/main/java/org/quetzalseam/cli/load/LoadRun.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/LoadRun.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Sends all requests at their scheduled times. Returns the samples when the last request has ended, or 150 s after the
-     * last was sent, whichever is earlier.
+     * Sends all requests at their scheduled times. Returns the samples when the last request has ended, or 150 s after
+     * the last was sent, whichever is earlier.
      */
     public List<Sample> run(List<PlannedRequest> schedule, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
--- a/cli/src/main/java/org/quetzalseam/cli/measure/AddedTime.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/AddedTime.java
@@ -100,9 +100,9 @@
         for (int i = 0; i < count; i++) {
             long at = start + (long) (i / perSecond * 1e9);
             boolean counted = i > count * WARM_UP_SHARE;
-            pause(at);
-            threads.execute(() -> time(routedCall, at, routed, counted));
-            threads.execute(() -> time(directCall, at, direct, counted));
+            sleepUntil(at);
+            threads.execute(() -> timeCall(routedCall, at, routed, counted));
+            threads.execute(() -> timeCall(directCall, at, direct, counted));
         }
         threads.shutdown();
         try {
@@ -114,7 +114,7 @@
         }
     }
 
-    private static void pause(long until) {
+    private static void sleepUntil(long until) {
         long left = until - System.nanoTime();
         while (left > 0) {
             LockSupport.parkNanos(left);
@@ -122,7 +122,7 @@
         }
     }
 
-    private void time(HttpRequest request, long at, Histogram histogram, boolean counted) {
+    private void timeCall(HttpRequest request, long at, Histogram histogram, boolean counted) {
         try {
             int status = client.send(request, BodyHandlers.discarding()).statusCode();
             if (counted && status == 200) {
--- a/cli/src/main/java/org/quetzalseam/cli/measure/Capacity.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Capacity.java
@@ -45,10 +45,10 @@
 
     /** Runs all measurements and prints the results. Takes about two minutes. */
     public void run(PrintWriter out) {
-        catalogue(out);
-        messages(out);
-        links(out);
-        requests(out);
+        measureCatalogue(out);
+        measureMessages(out);
+        measureLinks(out);
+        measureRequests(out);
         out.flush();
     }
 
@@ -73,7 +73,7 @@
         return files;
     }
 
-    private static void catalogue(PrintWriter out) {
+    private static void measureCatalogue(PrintWriter out) {
         out.println("catalogue: owners, entries, bytes of text, ms to check, bytes on heap");
         for (int owners : new int[] {50, 150, 350}) {
             Map<String, String> files = files(owners, 8);
@@ -109,7 +109,7 @@
         return MessageCodec.encode(message).length + FRAME_HEADER;
     }
 
-    private static void messages(PrintWriter out) {
+    private static void measureMessages(PrintWriter out) {
         out.println("heartbeat: attempts held, bytes");
         for (int held : new int[] {0, 10, 100}) {
             List<AttemptId> ids = new ArrayList<>();
@@ -153,9 +153,10 @@
     }
 
     /**
-     * Measures idle links. Both ends of each link are in this process, so a daemon bears about half of the measured cost.
+     * Measures idle links. Both ends of each link are in this process, so a daemon bears about half of the measured
+     * cost.
      */
-    private static void links(PrintWriter out) {
+    private static void measureLinks(PrintWriter out) {
         out.println("idle links: endpoints, links, percent of a core for all, threads, bytes on heap");
         for (int decoders : new int[] {2, 10, 30}) {
             Site site = new Site(withDecoders(decoders), SiteOptions.defaults());
@@ -181,20 +182,20 @@
     }
 
     /**
-     * Measures the complete path of requests. Callers, daemons and stand-ins all run in this process, so the result is an
-     * upper bound for the daemons.
+     * Measures the complete path of requests. Callers, daemons and stand-ins all run in this process, so the result is
+     * an upper bound for the daemons.
      */
-    private static void requests(PrintWriter out) {
+    private static void measureRequests(PrintWriter out) {
         out.println("requests: kind, a second, outputs each, core-ms a request for everything in the process");
         for (double rate : new double[] {50, 200, 800}) {
-            cost(out, Route.Kind.SERVICE, rate, 1);
+            measureCost(out, Route.Kind.SERVICE, rate, 1);
         }
         for (int outputs : new int[] {5, 50, 150}) {
-            cost(out, Route.Kind.MODEL, 20, outputs);
+            measureCost(out, Route.Kind.MODEL, 20, outputs);
         }
     }
 
-    private static void cost(PrintWriter out, Route.Kind kind, double rate, int outputs) {
+    private static void measureCost(PrintWriter out, Route.Kind kind, double rate, int outputs) {
         Deployment full = Deployment.bundled("landesamt");
         Traffic like = full.traffic().stream()
                 .filter(traffic -> traffic.route().kind() == kind
--- a/cli/src/main/java/org/quetzalseam/cli/measure/Comparison.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Comparison.java
@@ -42,7 +42,7 @@
         policies = List.copyOf(policies);
     }
 
-    /** Executes all runs and returns their results. Passes each result to {@code progress} as soon as it is available. */
+    /** Executes all runs and returns their results. Passes each result to {@code progress} when it is available. */
     public List<Measured> run(Consumer<Measured> progress) {
         List<Measured> results = new ArrayList<>();
         for (double load : loads) {
--- a/cli/src/main/java/org/quetzalseam/cli/measure/ComparisonTable.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/ComparisonTable.java
@@ -29,9 +29,9 @@
         List<String> policies =
                 results.stream().map(Measured::policy).distinct().toList();
         for (double load : loads) {
-            List<Measured> base = of(results, load, policies.get(policies.size() - 1));
+            List<Measured> base = select(results, load, policies.get(policies.size() - 1));
             for (String policy : policies) {
-                row(load, policy, of(results, load, policy), base, out);
+                printRow(load, policy, select(results, load, policy), base, out);
             }
         }
         out.printf(
@@ -40,7 +40,8 @@
         out.flush();
     }
 
-    private static void row(double load, String policy, List<Measured> runs, List<Measured> base, PrintWriter out) {
+    private static void printRow(
+            double load, String policy, List<Measured> runs, List<Measured> base, PrintWriter out) {
         double[] ratios = new double[runs.size()];
         for (int i = 0; i < ratios.length; i++) {
             ratios[i] = base.get(i).goodput() == 0
@@ -55,7 +56,7 @@
                 PERCENT * median(runs, Measured::goodput),
                 PERCENT * runs.stream().mapToDouble(Measured::goodput).min().orElse(0),
                 PERCENT * runs.stream().mapToDouble(Measured::goodput).max().orElse(0),
-                middle(ratios),
+                medianOf(ratios),
                 median(runs, Measured::wastedPercent),
                 runs.stream().mapToDouble(Measured::wastedPercent).max().orElse(0),
                 median(runs, Measured::shortP95),
@@ -64,17 +65,17 @@
                 runs.stream().mapToInt(Measured::unanswered).sum());
     }
 
-    private static List<Measured> of(List<Measured> results, double load, String policy) {
+    private static List<Measured> select(List<Measured> results, double load, String policy) {
         return results.stream()
                 .filter(run -> run.load() == load && run.policy().equals(policy))
                 .toList();
     }
 
     private static double median(List<Measured> runs, ToDoubleFunction<Measured> figure) {
-        return middle(runs.stream().mapToDouble(figure).toArray());
+        return medianOf(runs.stream().mapToDouble(figure).toArray());
     }
 
-    private static double middle(double[] values) {
+    private static double medianOf(double[] values) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         if (sorted.length == 0) {
--- a/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
@@ -65,8 +65,7 @@
                 return ExitCodes.OK;
             }
         }
-        err().println(
-                        "no reachable entry has a record of this request; entries keep records of the latest 2000 requests");
+        err().println("no reachable entry has a record of this request; entries keep the latest 2000 requests");
         return ExitCodes.REFUSED;
     }
 }
