--- a/cli/src/main/java/org/quetzalseam/cli/measure/Capacity.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Capacity.java
@@ -34,7 +34,7 @@
 import org.quetzalseam.wire.message.SiteState;
 import org.quetzalseam.wire.message.Vm;
 
-/** Measures what state, messages and requests cost, each at three sizes or more. Used by one thread. */
+/** Measures the cost of state, messages, links and requests, each at several sizes. For use by a single thread. */
 public final class Capacity {
     private static final OperatingSystemMXBean PROCESS =
             (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
@@ -43,12 +43,12 @@
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int FRAME_HEADER = 4;
 
-    /** Measures everything and prints it; takes about two minutes. */
+    /** Runs all measurements and prints the results. Takes about two minutes. */
     public void run(PrintWriter out) {
-        catalogue(out);
-        messages(out);
-        links(out);
-        requests(out);
+        measureCatalogue(out);
+        measureMessages(out);
+        measureLinks(out);
+        measureRequests(out);
         out.flush();
     }
 
@@ -73,7 +73,7 @@
         return files;
     }
 
-    private static void catalogue(PrintWriter out) {
+    private static void measureCatalogue(PrintWriter out) {
         out.println("catalogue: owners, entries, bytes of text, ms to check, bytes on heap");
         for (int owners : new int[] {50, 150, 350}) {
             Map<String, String> files = files(owners, 8);
@@ -109,7 +109,7 @@
         return MessageCodec.encode(message).length + FRAME_HEADER;
     }
 
-    private static void messages(PrintWriter out) {
+    private static void measureMessages(PrintWriter out) {
         out.println("heartbeat: attempts held, bytes");
         for (int held : new int[] {0, 10, 100}) {
             List<AttemptId> ids = new ArrayList<>();
@@ -152,8 +152,11 @@
         return new Deployment("slope", full.zones(), 1, pools, full.traffic(), full.catalogue());
     }
 
-    /** Idle links: both ends of each are in this process, so a daemon bears about half of what is measured. */
-    private static void links(PrintWriter out) {
+    /**
+     * Measures idle links. Both ends of each link are in this process, so a daemon bears about half of the measured
+     * cost.
+     */
+    private static void measureLinks(PrintWriter out) {
         out.println("idle links: endpoints, links, percent of a core for all, threads, bytes on heap");
         for (int decoders : new int[] {2, 10, 30}) {
             Site site = new Site(withDecoders(decoders), SiteOptions.defaults());
@@ -178,18 +181,21 @@
         }
     }
 
-    /** Whole path with callers, daemons and stand-ins in this process: an upper bound for the daemons. */
-    private static void requests(PrintWriter out) {
+    /**
+     * Measures the complete path of requests. Callers, daemons and stand-ins all run in this process, so the result is
+     * an upper bound for the daemons.
+     */
+    private static void measureRequests(PrintWriter out) {
         out.println("requests: kind, a second, outputs each, core-ms a request for everything in the process");
         for (double rate : new double[] {50, 200, 800}) {
-            cost(out, Route.Kind.SERVICE, rate, 1);
+            measureCost(out, Route.Kind.SERVICE, rate, 1);
         }
         for (int outputs : new int[] {5, 50, 150}) {
-            cost(out, Route.Kind.MODEL, 20, outputs);
+            measureCost(out, Route.Kind.MODEL, 20, outputs);
         }
     }
 
-    private static void cost(PrintWriter out, Route.Kind kind, double rate, int outputs) {
+    private static void measureCost(PrintWriter out, Route.Kind kind, double rate, int outputs) {
         Deployment full = Deployment.bundled("landesamt");
         Traffic like = full.traffic().stream()
                 .filter(traffic -> traffic.route().kind() == kind
