--- a/standins/src/main/java/org/quetzalseam/standins/DecodeBatch.java
+++ b/standins/src/main/java/org/quetzalseam/standins/DecodeBatch.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** The decode part of an engine: in each step every sequence gets one output. Thread-safe. */
+/** The decode batch of an engine stand-in: each step produces one output for every started sequence. Thread-safe. */
 final class DecodeBatch {
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /** A sequence that holds memory. */
+    /** A sequence that holds decode memory. */
     static final class Sequence {
         private final String id;
         private final int outputs;
@@ -26,7 +26,7 @@
             return outputs;
         }
 
-        /** Waits for the next output and returns its index, or -1 when there are no more. */
+        /** Waits for the next output and returns its index, or -1 when the sequence is complete or cancelled. */
         synchronized int next() {
             while (taken >= made && made < outputs && !cancelled) {
                 try {
@@ -72,7 +72,7 @@
         worker.start();
     }
 
-    /** Takes memory for a sequence. Returns null when there is none left, or the sequence holds some already. */
+    /** Allocates memory for a sequence. Returns null when no slot is free or the sequence already holds one. */
     synchronized @Nullable Sequence enter(String id, int outputs) {
         if (sequences.size() >= costs.slots() || sequences.containsKey(id)) {
             return null;
--- a/standins/src/main/java/org/quetzalseam/standins/EngineCosts.java
+++ b/standins/src/main/java/org/quetzalseam/standins/EngineCosts.java
@@ -1,16 +1,16 @@
 package org.quetzalseam.standins;
 
 /**
- * What work costs an engine stand-in. Immutable.
+ * Capacity of an engine stand-in and the time its operations take. Immutable.
  *
- * @param slots sequences that fit the memory of a decode engine
+ * @param slots number of sequences that fit into the memory of a decode engine
  * @param prefillMicrosPerToken prefill time of one prompt token, in microseconds
  * @param stepMicros time of one decode step, in microseconds
- * @param stepMicrosPerSequence what each sequence adds to a step, in microseconds
+ * @param stepMicrosPerSequence time that each sequence adds to a decode step, in microseconds
  * @param kvBytesPerToken size of the KV cache of one token, in bytes
- * @param linkBytesPerMilli rate of the link that a decode engine fetches over, in bytes a millisecond
- * @param kvLifeMillis how long a prefilled KV cache can be fetched, in milliseconds
- * @param cachedTokens prompt tokens whose prefixes a prefill engine remembers
+ * @param linkBytesPerMilli rate of the link over which a decode engine fetches KV caches, in bytes per millisecond
+ * @param kvLifeMillis how long a KV cache can be fetched after its prefill, in milliseconds
+ * @param cachedTokens capacity of the prefix cache of a prefill engine, in prompt tokens
  */
 public record EngineCosts(
         int slots,
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Returns these costs with everything {@code factor} times faster, except for the life of a KV cache: what has to be done within it,
-     * the way of the order to the decode engine, takes its real time at any speed.
+     * Returns these costs with everything {@code factor} times faster, except for the retention of a KV cache: the request to the
+     * decode engine has to arrive within it and takes its real time at any speed.
      */
     public EngineCosts faster(double factor) {
         return new EngineCosts(
--- a/standins/src/main/java/org/quetzalseam/standins/EngineStandIn.java
+++ b/standins/src/main/java/org/quetzalseam/standins/EngineStandIn.java
@@ -8,11 +8,12 @@
 import java.util.Set;
 
 /**
- * A model engine with continuous batching: prefills prompts, or decodes from a fetched KV cache, and cancels. It counts
- * the memory it holds, so that tests see what a router leaves behind. Thread-safe.
+ * Simulates a model engine with continuous batching, which prefills prompts, decodes from a fetched KV cache and cancels
+ * requests. It counts the sequences that hold memory, so that tests detect memory that a router did not release.
+ * Thread-safe.
  *
- * <p>Each output is {@code HASH:INDEX} with a hash of the prompt, so that a caller can tell if an answer is its own,
- * whole and in order.
+ * <p>Each output is {@code HASH:INDEX} with a hash of the prompt, so that a caller can check that an answer belongs to
+ * its request, is complete and in order.
  */
 public final class EngineStandIn {
     private static final int CHARS_PER_TOKEN = 4;
@@ -27,7 +28,7 @@
     private volatile boolean refusing;
     private final StandInServer server;
 
-    /** Starts an engine on a free port of loopback. */
+    /** Starts an engine on a free port of the loopback interface. */
     public EngineStandIn(EngineCosts costs, KvRegistry registry) {
         this.costs = costs;
         this.registry = registry;
@@ -42,22 +43,22 @@
         return server.url();
     }
 
-    /** Returns the sequences that hold memory now. */
+    /** Returns the number of sequences that hold memory now. */
     public int held() {
         return decodes.held();
     }
 
-    /** Returns the most sequences that ever held memory at once. */
+    /** Returns the highest number of sequences that held memory at the same time. */
     public int mostHeld() {
         return decodes.mostHeld();
     }
 
-    /** Returns how many prompts are being prefilled or wait for it. */
+    /** Returns the number of prompts whose prefill is queued or in progress. */
     public int prefilling() {
         return prefills.size();
     }
 
-    /** Makes the engine refuse new work, or take it again. */
+    /** Sets whether the engine refuses new requests. Cancellations are always accepted. */
     public void refuse(boolean now) {
         refusing = now;
     }
@@ -174,7 +175,7 @@
         exchange.getResponseBody().flush();
     }
 
-    /** Stops the engine at once. */
+    /** Stops the engine immediately and cancels its work. */
     public void stop() {
         server.stop();
         prefills.stop();
--- a/standins/src/main/java/org/quetzalseam/standins/KvRegistry.java
+++ b/standins/src/main/java/org/quetzalseam/standins/KvRegistry.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The KV caches that prefill engines hold for fetching. Each is fetched once or expires. Thread-safe. */
+/** Holds the KV caches of prefill engines until a decode engine fetches them, at most once, or they expire. Thread-safe. */
 public final class KvRegistry {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /**
-     * A KV cache.
+     * A KV cache of one prompt.
      *
      * @param prompt hash of the prompt
-     * @param tokens its length
-     * @param expires when it is gone, in nanoseconds of the monotonic clock
+     * @param tokens length of the prompt, in tokens
+     * @param expires when it expires, in nanoseconds of the monotonic clock
      */
     record Kv(String prompt, int tokens, long expires) {}
 
@@ -44,17 +44,17 @@
         }
     }
 
-    /** Counts prompt tokens that were prefilled for nothing. */
+    /** Records prompt tokens whose prefill was wasted. */
     synchronized void wasted(int tokens) {
         wastedTokens += tokens;
     }
 
-    /** Returns the prompt tokens prefilled so far. */
+    /** Returns the number of prompt tokens whose KV caches have been stored so far. */
     public synchronized long madeTokens() {
         return madeTokens;
     }
 
-    /** Returns the prompt tokens whose KV cache has not been used. */
+    /** Returns the number of prefilled prompt tokens that were wasted or whose KV cache has not been fetched yet. */
     public synchronized long wastedTokens() {
         return wastedTokens + held.values().stream().mapToLong(Kv::tokens).sum();
     }
--- a/standins/src/main/java/org/quetzalseam/standins/LinkProxy.java
+++ b/standins/src/main/java/org/quetzalseam/standins/LinkProxy.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A network path to a port of loopback. It can be cut or reset, closed for new connections, frozen (bytes are held back and
- * arrive late), delayed, or silenced one way or both (bytes are lost). Thread-safe.
+ * Forwards TCP connections to a loopback port and injects network faults. It can close or reset connections, refuse new
+ * ones, freeze (bytes are held back and arrive late), delay, or drop bytes in one or both directions. Thread-safe.
  */
 public final class LinkProxy {
     private static final int BUFFER = 16_384;
@@ -32,12 +32,12 @@
     private volatile boolean silentBack;
     private volatile boolean refusing;
 
-    /** Starts a path to a port. */
+    /** Starts a proxy to a loopback port. */
     public LinkProxy(int target) {
         this("link", target);
     }
 
-    /** Starts a path with a name to a port. */
+    /** Starts a proxy to a loopback port, with a name for its threads. */
     public LinkProxy(String name, int target) {
         this.name = name;
         this.target = target;
@@ -55,37 +55,36 @@
         thread.start();
     }
 
-    /** Returns the path's name. */
     public String name() {
         return name;
     }
 
-    /** Returns the port that leads to the target. */
+    /** Returns the port that the proxy listens on. */
     public int port() {
         return server.getLocalPort();
     }
 
-    /** Returns the address that leads to the target. */
+    /** Returns the address that the proxy listens on, as host and port. */
     public String address() {
         return "127.0.0.1:" + port();
     }
 
-    /** Leads new connections to another port. */
+    /** Forwards new connections to another port. */
     public void target(int port) {
         target = port;
     }
 
-    /** Cuts all connections in order; new ones can be made at once. */
+    /** Closes all connections in order; new ones are accepted at once. */
     public void cut() {
         sockets.forEach(LinkProxy::close);
     }
 
-    /** Resets all connections; new ones can be made at once. */
+    /** Resets all connections; new ones are accepted at once. */
     public void reset() {
         sockets.forEach(LinkProxy::reset);
     }
 
-    /** Refuses new connections and cuts the existing ones, or lets new ones through again. */
+    /** Closes the existing connections and each new one, or accepts new ones again. */
     public void partition(boolean now) {
         refusing = now;
         if (now) {
@@ -93,7 +92,7 @@
         }
     }
 
-    /** Holds all bytes back, or lets them go. */
+    /** Holds all bytes back, or forwards them again, including those held back. */
     public void freeze(boolean now) {
         synchronized (gate) {
             frozen = now;
@@ -101,23 +100,23 @@
         }
     }
 
-    /** Delays each piece, in either direction. */
+    /** Delays each block of bytes, in both directions, by a time in milliseconds. */
     public void delay(long millis) {
         delayMillis = millis;
     }
 
-    /** Loses the bytes towards the target, back from it, or both, of open and of new connections. */
+    /** Drops the bytes to the target, from it, or both, on open and on new connections. */
     public void silence(boolean there, boolean back) {
         silentThere = there;
         silentBack = back;
     }
 
-    /** Loses from now on all bytes of the connections that are open, either way and for good; new ones work. */
+    /** Drops from now on all bytes of the connections that are open, in both directions and permanently; new ones work. */
     public void silenceOpen() {
         silent.addAll(sockets);
     }
 
-    /** Ends every fault. Connections that may have lost bytes are reset, as what comes next would not fit. */
+    /** Ends every fault. Connections that may have lost bytes are reset because later bytes would follow a gap. */
     public void heal() {
         boolean lossy = silentThere || silentBack;
         delay(0);
@@ -134,13 +133,13 @@
             try {
                 connect(server.accept());
             } catch (IOException ignored) {
-                // The proxy is being stopped.
+                // The listener has been closed, or a connection was lost before it was accepted.
             }
         }
     }
 
     private void connect(Socket caller) {
-        // A listener that is closed may hand out one more connection.
+        // A closed listener may return one more connection.
         if (refusing || server.isClosed()) {
             close(caller);
             return;
@@ -159,7 +158,7 @@
     }
 
     private void copy(Socket from, Socket to, boolean there) {
-        boolean holed = false;
+        boolean bytesLost = false;
         byte[] buffer = new byte[BUFFER];
         try {
             InputStream in = from.getInputStream();
@@ -168,9 +167,9 @@
             while (length >= 0) {
                 awaitThaw();
                 sleep(delayMillis);
-                // What comes after a loss would not fit: a real connection delivers nothing beyond it.
-                holed |= (there ? silentThere : silentBack) || silent.contains(from);
-                if (!holed) {
+                // Drops everything after a loss, because a real connection delivers nothing beyond a gap.
+                bytesLost |= (there ? silentThere : silentBack) || silent.contains(from);
+                if (!bytesLost) {
                     out.write(buffer, 0, length);
                 }
                 length = in.read(buffer);
@@ -178,7 +177,7 @@
             close(to);
             close(from);
         } catch (IOException lost) {
-            // Cut on purpose, or reset by one side: the other side sees the same.
+            // Closed by an injected fault or reset by one side: resets both sides, so that the other side sees it too.
             reset(to);
             reset(from);
         }
@@ -211,7 +210,7 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException ignored) {
-            // Closed already.
+            // The socket is closed already.
         }
         close(socket);
     }
@@ -220,17 +219,17 @@
         try {
             socket.close();
         } catch (IOException ignored) {
-            // Closed already.
+            // The socket is closed already.
         }
     }
 
-    /** Stops the path. */
+    /** Stops the proxy and closes its connections. */
     public void stop() {
         freeze(false);
         try {
             server.close();
         } catch (IOException ignored) {
-            // Closed already.
+            // The socket is closed already.
         }
         cut();
     }
--- a/standins/src/main/java/org/quetzalseam/standins/Pause.java
+++ b/standins/src/main/java/org/quetzalseam/standins/Pause.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-/** Lets stand-ins take the time that the real thing would. Stateless. */
+/** Simulates processing time by pausing the current thread until the time is over or it is interrupted. Stateless. */
 final class Pause {
     private Pause() {}
 
--- a/standins/src/main/java/org/quetzalseam/standins/PlatformStandIn.java
+++ b/standins/src/main/java/org/quetzalseam/standins/PlatformStandIn.java
@@ -14,8 +14,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform: objects with versions, conditional updates and watches, and a list of VMs. Faults can be injected: an
- * outage, slowness, answers that are lost after the write took effect, and a return from an older copy. Thread-safe.
+ * Simulates the platform: a store of objects with versions, conditional updates and watches, and a list of VMs. Faults can
+ * be injected: an outage, delays, responses that are lost after the write took effect, and a restore from an older copy.
+ * Thread-safe.
  */
 public final class PlatformStandIn {
     private static final String OBJECTS = "/apis/quetzalseam/v1/objects/";
@@ -29,16 +30,16 @@
      * @param role {@code entry} or {@code endpoint}
      * @param zone its availability zone
      * @param pool pool of an endpoint, empty for entries
-     * @param port port of our process for entries
-     * @param operatorPort port of our process for operators
-     * @param leaving whether it is about to be taken away
+     * @param port port on which the entry accepts callers or the endpoint its peers
+     * @param operatorPort port of the operator interface
+     * @param leaving whether the VM is about to be removed
      */
     public record ListedVm(
             String name, String role, String zone, String pool, int port, int operatorPort, boolean leaving) {}
 
     private record Stored(long version, String data) {}
 
-    /** What the store held at some moment. Immutable. */
+    /** A copy of the contents of the store at one moment. Immutable. */
     public static final class Copy {
         private final Map<String, Stored> objects;
         private final Map<String, ListedVm> vms;
@@ -71,7 +72,7 @@
         return server.url();
     }
 
-    /** Puts a VM on the list or replaces it there. */
+    /** Adds a VM to the list or replaces it. */
     public void list(ListedVm vm) {
         synchronized (lock) {
             vms.put(vm.name(), vm);
@@ -80,7 +81,7 @@
         }
     }
 
-    /** Takes a VM off the list. */
+    /** Removes a VM from the list. */
     public void unlist(String name) {
         synchronized (lock) {
             if (vms.remove(name) != null) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /** Begins or ends an outage: every call fails while it lasts. */
+    /** Begins or ends an outage, during which every call fails with status 503. */
     public void down(boolean now) {
         synchronized (lock) {
             down = now;
@@ -98,21 +99,21 @@
         }
     }
 
-    /** Makes every call take longer. */
+    /** Delays every call by a time in milliseconds. */
     public void slow(long millis) {
         synchronized (lock) {
             delayMillis = millis;
         }
     }
 
-    /** Loses the answers of the next writes after they took effect. */
+    /** Answers the next successful writes with status 504 after they took effect. */
     public void loseAnswers(int count) {
         synchronized (lock) {
             answersToLose = count;
         }
     }
 
-    /** Returns the data of an object, or null when there is none: for tests that put back an older state. */
+    /** Returns the data of an object, or null when it does not exist. Tests use it to write back an older state. */
     public @Nullable String data(String name) {
         synchronized (lock) {
             Stored stored = objects.get(name);
@@ -128,14 +129,14 @@
         }
     }
 
-    /** Returns a copy of all that the store holds. */
+    /** Returns a copy of the contents of the store. */
     public Copy copy() {
         synchronized (lock) {
             return new Copy(this);
         }
     }
 
-    /** Comes back from a copy: what was written since is gone, and its versions are given out again. */
+    /** Restores the store from a copy and raises the era. Later writes are lost, and their versions are assigned again. */
     public void restore(Copy copy) {
         synchronized (lock) {
             objects.clear();
@@ -149,17 +150,17 @@
         }
     }
 
-    /** States the era in an answer; to be called with the lock held, where its content is taken. */
+    /** Sets the era in the response headers. The caller holds the lock under which it reads the content, so that both match. */
     private void stamp(HttpExchange exchange) {
         exchange.getResponseHeaders().set(ERA, Long.toString(era));
     }
 
-    /** Returns how many reads, a waiting watch counted as one, have been answered. */
+    /** Returns the number of reads received; a watch counts as one. */
     public long reads() {
         return reads.get();
     }
 
-    /** Returns how many writes have been tried. */
+    /** Returns the number of writes attempted. */
     public long writes() {
         return writes.get();
     }
@@ -231,7 +232,7 @@
         long now();
     }
 
-    /** Waits, holding the lock, until a version is another than the one asked about or the wait is over. */
+    /** Waits, with the lock held, until the version differs from the requested one, the era changes, an outage begins or the time is over. */
     private void await(Map<String, String> query, Version current) {
         long end = System.nanoTime()
                 + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(query.getOrDefault("timeoutMillis", "0")));
@@ -328,7 +329,7 @@
         return query;
     }
 
-    /** Stops the stand-in. */
+    /** Stops the server and ends waiting watches. */
     public void stop() {
         synchronized (lock) {
             down = true;
--- a/standins/src/main/java/org/quetzalseam/standins/PrefillBatch.java
+++ b/standins/src/main/java/org/quetzalseam/standins/PrefillBatch.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The prefill part of an engine: prompts are worked off in chunks, those with the lower priority number first. Prefixes
- * seen before cost nothing while they are remembered. Thread-safe.
+ * The prefill queue of an engine stand-in. Prompts are prefilled in chunks, those with the lowest priority number first.
+ * Prefixes in the prefix cache take no time. Thread-safe.
  */
 final class PrefillBatch {
     private static final int CHUNK_TOKENS = 512;
@@ -43,7 +43,7 @@
         worker.start();
     }
 
-    /** Prefills a prompt and returns when that is done. Returns false when it was cancelled meanwhile. */
+    /** Prefills a prompt and waits for the end. Returns false when it was cancelled or the engine stopped before. */
     synchronized boolean run(String id, String text, int tokens, int priority) {
         Prompt prompt = new Prompt(id, priority, Math.max(1, tokens - known(text)));
         waiting.add(prompt);
--- a/standins/src/main/java/org/quetzalseam/standins/ServiceStandIn.java
+++ b/standins/src/main/java/org/quetzalseam/standins/ServiceStandIn.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A plain service that counts each execution by the business id in the header {@code X-Business-Id}. Copies of the
- * service share one {@link Ledger}, as they would a database. Thread-safe.
+ * Simulates an HTTP service that counts executions by the business id in the header {@code X-Business-Id}. Instances of
+ * the service share one {@link Ledger}, as they would share a database. Thread-safe.
  */
 public final class ServiceStandIn {
-    /** What all copies of a service have executed. Thread-safe. */
+    /** Counts the executions of all instances of a service. Thread-safe. */
     public static final class Ledger {
         private final Map<String, Integer> executions = new HashMap<>();
 
@@ -22,12 +22,12 @@
             return executions.merge(id, 1, Integer::sum);
         }
 
-        /** Returns how often an id was executed. */
+        /** Returns the number of executions of an id. */
         public synchronized int count(String id) {
             return executions.getOrDefault(id, 0);
         }
 
-        /** Returns how often each id was executed. */
+        /** Returns the number of executions of each id. */
         public synchronized Map<String, Integer> counts() {
             return Map.copyOf(executions);
         }
@@ -42,10 +42,10 @@
     private final StandInServer server;
 
     /**
-     * Starts a copy of a service on a free port of loopback.
+     * Starts an instance of a service on a free port of the loopback interface.
      *
-     * @param ledger what its copies share
-     * @param millis how long a call takes
+     * @param ledger executions of all instances
+     * @param millis duration of a call, in milliseconds
      */
     public ServiceStandIn(Ledger ledger, long millis) {
         this.ledger = ledger;
@@ -58,17 +58,17 @@
         return server.url();
     }
 
-    /** Returns how many calls have arrived. */
+    /** Returns the number of calls received. */
     public long calls() {
         return calls.get();
     }
 
-    /** Makes calls take longer from now on. */
+    /** Makes later calls take longer by a time in milliseconds. */
     public void slow(long addedMillis) {
         extraMillis = addedMillis;
     }
 
-    /** Makes the service execute calls and then break off without an answer. */
+    /** Sets whether the service executes calls and then closes the connection without a response. */
     public void breakOff(boolean now) {
         breaking = now;
     }
@@ -93,7 +93,7 @@
         StandInServer.answer(exchange, 200, answer);
     }
 
-    /** Stops the service at once; calls that run are broken off. */
+    /** Stops the service immediately and interrupts calls in progress. */
     public void stop() {
         held.forEach(Thread::interrupt);
         server.stop();
--- a/standins/src/main/java/org/quetzalseam/standins/StandInServer.java
+++ b/standins/src/main/java/org/quetzalseam/standins/StandInServer.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** An HTTP server on loopback with one handler. Thread-safe. */
+/** An HTTP server on the loopback interface with one handler for all paths. Thread-safe. */
 final class StandInServer {
     static final ObjectMapper JSON = new ObjectMapper();
     private static final int BACKLOG = 1024;
--- a/standins/src/main/java/org/quetzalseam/standins/TransferLink.java
+++ b/standins/src/main/java/org/quetzalseam/standins/TransferLink.java
@@ -1,6 +1,6 @@
 package org.quetzalseam.standins;
 
-/** A link of limited rate: transfers go one after the other. Thread-safe. */
+/** Simulates a link of limited rate, which runs one transfer after the other. Thread-safe. */
 final class TransferLink {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -11,7 +11,7 @@
         this.bytesPerMilli = bytesPerMilli;
     }
 
-    /** Takes the time of a transfer and of those before it. */
+    /** Waits for the time that this transfer and the transfers queued before it take. */
     void transfer(long bytes) {
         long end;
         synchronized (this) {
--- a/standins/src/main/java/org/quetzalseam/standins/package-info.java
+++ b/standins/src/main/java/org/quetzalseam/standins/package-info.java
@@ -1,4 +1,4 @@
-/** Small stand-ins for what quetzalseam talks to: the platform, engines, services, and a network that can fail. */
+/** Stand-ins for the systems around quetzalseam: the platform, engines, services and a network with faults. */
 @NullMarked
 package org.quetzalseam.standins;
 
--- a/standins/src/main/java/org/quetzalseam/standins/raw/RawConnection.java
+++ b/standins/src/main/java/org/quetzalseam/standins/raw/RawConnection.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** A connection whose replies are written as text. Used by the thread that serves it, but for {@link #reset}. */
+/** A connection whose replies are written as text. Only the thread that serves it may use it, except for {@link #reset}. */
 public final class RawConnection {
     private final Socket socket;
     private final InputStream in;
@@ -23,11 +23,11 @@
         socket.setTcpNoDelay(true);
     }
 
-    /** Reads the next request. Returns null when there is no more. */
+    /** Reads the next request. Returns null at the end of the stream. */
     @Nullable
     RawRequest read() throws IOException {
-        String first = line();
-        if (first.isEmpty()) {
+        String requestLine = line();
+        if (requestLine.isEmpty()) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
@@ -41,7 +41,7 @@
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         String body = new String(in.readNBytes(length), StandardCharsets.UTF_8);
-        String[] parts = first.split(" ", -1);
+        String[] parts = requestLine.split(" ", -1);
         return new RawRequest(parts[0], parts[1], headers, body);
     }
 
@@ -57,14 +57,14 @@
         return line.toString(StandardCharsets.UTF_8);
     }
 
-    /** Writes text as it stands. */
+    /** Writes text unchanged. */
     public void write(String text) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.UTF_8));
         out.flush();
     }
 
-    /** Writes a whole reply with a length; each header is a line without its end. */
+    /** Writes a complete reply with its Content-Length; each header is a line without the line break. */
     public void reply(int status, String body, String... headers) throws IOException {
         StringBuilder head = new StringBuilder("HTTP/1.1 " + status + (status == 200 ? " OK" : " Other") + "\r\n");
         for (String header : headers) {
@@ -74,17 +74,17 @@
         write(head + "Content-Length: " + length + "\r\n\r\n" + body);
     }
 
-    /** Writes a piece of a body in chunks. */
+    /** Writes one chunk of a chunked body. */
     public void chunk(String text) throws IOException {
         write(Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + text + "\r\n");
     }
 
-    /** Ends a body in chunks. */
+    /** Writes the last chunk of a chunked body. */
     public void endChunks() throws IOException {
         write("0\r\n\r\n");
     }
 
-    /** Ends the connection in order. */
+    /** Closes the sending direction in order. */
     public void finish() throws IOException {
         socket.shutdownOutput();
     }
@@ -95,11 +95,11 @@
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException expected) {
-            // The connection is gone already.
+            // The connection is closed already.
         }
     }
 
-    /** Waits for the other side's close. Returns whether it came, with nothing before it. */
+    /** Waits for the peer to close the connection. Returns whether it closed without sending anything before. */
     public boolean awaitClosed(int limitMillis) throws IOException {
         socket.setSoTimeout(limitMillis);
         return in.read() < 0;
--- a/standins/src/main/java/org/quetzalseam/standins/raw/RawRequest.java
+++ b/standins/src/main/java/org/quetzalseam/standins/raw/RawRequest.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * A request as it came. Immutable.
+ * A request as received. Immutable.
  *
- * @param method its method
- * @param path its path with the query
- * @param headers its headers, the names in lower case
- * @param body its body
+ * @param method HTTP method
+ * @param path path with the query
+ * @param headers headers by name in lower case
+ * @param body body as text
  */
 public record RawRequest(String method, String path, Map<String, String> headers, String body) {
-    /** Returns a header's value, empty where there is none. */
+    /** Returns a header's value, or an empty string when it is absent. */
     public String header(String name) {
         return headers.getOrDefault(name.toLowerCase(Locale.ROOT), "");
     }
--- a/standins/src/main/java/org/quetzalseam/standins/raw/RawServer.java
+++ b/standins/src/main/java/org/quetzalseam/standins/raw/RawServer.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.jspecify.annotations.Nullable;
 
-/** Serves HTTP on a free port of loopback with a thread a connection. Thread-safe. */
+/** Serves HTTP on a free port of the loopback interface with one thread per connection. Thread-safe. */
 public final class RawServer implements AutoCloseable {
     private static final int BACKLOG = 256;
 
     /** Writes the reply to one request. An exception resets the connection. */
     @FunctionalInterface
     public interface Script {
-        /** Replies, or doesn't. */
+        /** Replies to a request or sends nothing. */
         void reply(RawRequest request, RawConnection connection) throws IOException;
     }
 
@@ -30,7 +30,7 @@
     private final Script script;
     private final Thread acceptor = daemonThread(this::accept);
 
-    /** Starts a server. */
+    /** Starts a server whose replies the script writes. */
     public RawServer(Script script) {
         this.script = script;
         try {
@@ -47,12 +47,12 @@
         return thread;
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return listener.getLocalPort();
     }
 
-    /** Returns how many connections have been accepted. */
+    /** Returns the number of connections accepted so far. */
     public int connections() {
         return accepted.get();
     }
@@ -67,7 +67,7 @@
             try {
                 take(listener.accept());
             } catch (IOException expected) {
-                // Closed, or the caller has gone: the loop's condition tells.
+                // The listener was closed, which ends the loop, or the caller disconnected.
             }
         }
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Stops the server and resets its connections. From then on connections are refused. */
+    /** Stops the server and resets its connections. After it returns, new connections are refused. */
     @Override
     public void close() {
         try {
@@ -111,7 +111,7 @@
         threads.shutdownNow();
     }
 
-    /** Waits for the accepting thread: until it has left its system call the port still takes connections. */
+    /** Waits for the accepting thread, because the port accepts connections until that thread has left its system call. */
     private void awaitAcceptor() {
         try {
             acceptor.join();
--- a/standins/src/main/java/org/quetzalseam/standins/raw/package-info.java
+++ b/standins/src/main/java/org/quetzalseam/standins/raw/package-info.java
@@ -1,4 +1,4 @@
-/** An HTTP server whose replies are written byte by byte, for stand-ins that misbehave on purpose. */
+/** An HTTP server whose replies are written as raw text, for stand-ins that violate the protocol on purpose. */
 @NullMarked
 package org.quetzalseam.standins.raw;
 
--- a/standins/src/test/java/org/quetzalseam/standins/LinkProxyTest.java
+++ b/standins/src/test/java/org/quetzalseam/standins/LinkProxyTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class LinkProxyTest {
-    /** In it what was written has come through, or never will. */
+    /** Time after which written bytes have been delivered or are lost. */
     private static final Duration PASSED = Duration.ofSeconds(1);
 
     private static final Duration LIMIT = Duration.ofSeconds(10);
@@ -23,7 +23,7 @@
     private final LinkProxy proxy = new LinkProxy(server.getLocalPort());
 
     LinkProxyTest() throws IOException {
-        // The server's port has to be bound first.
+        // Declares the exception of the initializer that binds the server's port.
     }
 
     @AfterEach
@@ -33,8 +33,8 @@
     }
 
     /**
-     * A soak's caller got the events 1 to 281 of a stream, then the 618th: between the end of a silence and the reset of the connections that had
-     * lost bytes, what came next passed. No network delivers what comes after a loss.
+     * Guards against delivery beyond a gap. A caller received the events 1 to 281 of a stream and then the 618th, because bytes passed between
+     * the end of a fault that drops bytes and the reset of the affected connections. A network delivers nothing beyond lost bytes.
      */
     @Test
     void nothingPassesBeyondBytesThatWereLost() throws IOException {
--- a/standins/src/test/java/org/quetzalseam/standins/raw/RawServerTest.java
+++ b/standins/src/test/java/org/quetzalseam/standins/raw/RawServerTest.java
@@ -14,19 +14,19 @@
     private static final int SILENCE_MILLIS = 500;
 
     /**
-     * A closed listener may hand out one more connection, as its accepting thread leaves the system call only once it has run. That
-     * connection found no thread to serve it and was left open without a word, so a caller of a service that didn't listen any more
-     * waited until its own limit and was told that its call may have run.
+     * Guards against a connection that is accepted but never served. A closed listener may return one more connection, because its accepting
+     * thread leaves the system call only once it is scheduled. That connection had no thread to serve it and stayed open without a response,
+     * so that a caller of a stopped service waited for its own timeout and was informed that its call may have run.
      */
     @Test
     void aConnectionMadeWhileAServerIsClosedIsNotLeftOpenAndSilent() throws IOException {
-        int silent = 0;
-        for (int i = 0; i < ROUNDS && silent == 0; i++) {
+        int unanswered = 0;
+        for (int i = 0; i < ROUNDS && unanswered == 0; i++) {
             RawServer server = new RawServer((request, connection) -> connection.reply(200, ""));
             server.close();
-            silent += connectsAndHearsNothing(server.port()) ? 1 : 0;
+            unanswered += connectsAndHearsNothing(server.port()) ? 1 : 0;
         }
-        assertThat(silent).isZero();
+        assertThat(unanswered).isZero();
     }
 
     private static boolean connectsAndHearsNothing(int port) throws IOException {
@@ -35,7 +35,7 @@
             socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             socket.getInputStream().read();
             return false;
-        } catch (SocketTimeoutException silent) {
+        } catch (SocketTimeoutException expected) {
             return true;
         } catch (IOException refusedOrReset) {
             return false;
