--- a/daemon/src/main/java/org/quetzalseam/daemon/EntryDaemon.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/EntryDaemon.java
@@ -31,12 +31,12 @@
  */
 public final class EntryDaemon implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int REVIEW_RANKS = 8;
+    private static final int REVIEW_RANK_COUNT = 8;
 
     /** How often a starting entry looks whether it is prepared: a few times within a connection's opening. */
-    private static final Duration PREPARED_LOOK = Duration.ofMillis(10);
+    private static final Duration READINESS_CHECK_INTERVAL = Duration.ofMillis(10);
     /** How long it waits for that: several answers of a slow store; the balancer sends no callers meanwhile. */
-    private static final Duration PREPARED_LIMIT = Duration.ofMillis(1_500);
+    private static final Duration READINESS_TIMEOUT = Duration.ofMillis(1_500);
 
     private final Settings settings;
     private final TimerService timers;
@@ -59,11 +59,11 @@
         CatalogueStore catalogue = new CatalogueStore(store);
         this.watches = List.of(
                 new CatalogueWatch(catalogue, inForce, settings.name()),
-                new ProposalReview(catalogue, rank(settings.name()), settings.name()));
+                new ProposalReview(catalogue, reviewRank(settings.name()), settings.name()));
     }
 
-    private static int rank(String name) {
-        return Math.floorMod(name.hashCode(), REVIEW_RANKS);
+    private static int reviewRank(String name) {
+        return Math.floorMod(name.hashCode(), REVIEW_RANK_COUNT);
     }
 
     @Override
@@ -72,7 +72,7 @@
         router.start();
         watches.forEach(Service::start);
         operators.start();
-        awaitPrepared();
+        awaitCatalogueAndEndpoints();
         callers.start();
         logger.atInfo().log(
                 "event=started role=entry name=%s zone=%s port=%d operator_port=%d",
@@ -83,15 +83,15 @@
      * Waits for the catalogue and for links to all listed endpoints: a caller served before that would be told that a service
      * or the holder of its key can't be reached. Whatever hasn't come within the limit isn't waited for any longer.
      */
-    private void awaitPrepared() {
+    private void awaitCatalogueAndEndpoints() {
         CompletableFuture<Void> prepared = new CompletableFuture<>();
-        TimerService.Subscription look = timers.every(PREPARED_LOOK, () -> {
-            if (isPrepared()) {
+        TimerService.Subscription look = timers.every(READINESS_CHECK_INTERVAL, () -> {
+            if (hasCatalogueAndEndpoints()) {
                 prepared.complete(null);
             }
         });
         try {
-            prepared.get(PREPARED_LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+            prepared.get(READINESS_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             logger.atWarning().log(
                     "event=started-unprepared catalogue_version=%d endpoints=%d connected=%d",
@@ -105,7 +105,7 @@
         }
     }
 
-    private boolean isPrepared() {
+    private boolean hasCatalogueAndEndpoints() {
         int listed = listedEndpoints();
         return inForce.version() > 0 && listed > 0 && connectedEndpoints() == listed;
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/ProcessKeys.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/ProcessSecurity.java
@@ -9,8 +9,8 @@
 import org.quetzalseam.wire.connection.Transport;
 
 /** Makes the means by which processes know each other from their settings. Stateless. */
-public final class ProcessKeys {
-    private ProcessKeys() {}
+public final class ProcessSecurity {
+    private ProcessSecurity() {}
 
     /** Returns the site's key, or the one for loopback when the settings name none. */
     public static SiteKey siteKey(Security security) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/AnswerFormat.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/AnswerFormat.java
@@ -11,7 +11,7 @@
     ObjectNode event(RequestId id, String model, String text, @Nullable String finishReason);
 
     /** Returns a whole answer. */
-    ObjectNode whole(RequestId id, String model, String text, String finishReason);
+    ObjectNode complete(RequestId id, String model, String text, String finishReason);
 
     /** Returns the form of plain completions. */
     static AnswerFormat plain() {
@@ -28,7 +28,7 @@
             }
 
             @Override
-            public ObjectNode whole(RequestId id, String model, String text, String finishReason) {
+            public ObjectNode complete(RequestId id, String model, String text, String finishReason) {
                 return event(id, model, text, finishReason);
             }
         };
@@ -43,7 +43,7 @@
             }
 
             @Override
-            public ObjectNode whole(RequestId id, String model, String text, String finishReason) {
+            public ObjectNode complete(RequestId id, String model, String text, String finishReason) {
                 return choice(id, "chat.completion", model, "message", text, finishReason);
             }
         };
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/BodyReader.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/BodyReader.java
@@ -14,50 +14,50 @@
     /** How much more is taken before a refusal, so that a caller can't keep an entry busy for nothing. */
     private static final long MAX_DISCARDED_BYTES = 8L * MAX_BYTES;
 
-    private static final int PIECE_BYTES = 1 << 16;
+    private static final int CHUNK_BYTES = 1 << 16;
 
-    private static final Duration TIME = Duration.ofSeconds(10);
+    private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(10);
 
     private final TimerService timers;
 
-    private final Duration time;
+    private final Duration timeout;
 
     BodyReader(TimerService timers) {
-        this(timers, TIME);
+        this(timers, DEFAULT_TIMEOUT);
     }
 
     BodyReader(TimerService timers, Duration time) {
         this.timers = timers;
-        this.time = time;
+        this.timeout = time;
     }
 
     /** Returns the body. A body that is too large or too slow is refused. */
     byte[] read(HttpExchange exchange) throws IOException {
         InputStream in = exchange.getRequestBody();
-        Limit limit = new Limit(exchange, Thread.currentThread());
-        Subscription timer = timers.after(time, limit::reached);
+        ReadTimeout limit = new ReadTimeout(exchange, Thread.currentThread());
+        Subscription timer = timers.after(timeout, limit::expire);
         try {
             byte[] body = in.readNBytes(MAX_BYTES + 1);
             if (body.length > MAX_BYTES) {
                 discardRest(in);
-                throw CallerException.bad(
+                throw CallerException.notRetryable(
                         Statuses.CONTENT_TOO_LARGE, "too-large", "the body is longer than " + MAX_BYTES + " bytes");
             }
             return body;
         } catch (IOException e) {
-            if (limit.over()) {
+            if (limit.finish()) {
                 throw new IOException("the body was too slow", e);
             }
-            throw CallerException.bad(Statuses.BAD_REQUEST, "bad-body", "the body could not be read");
+            throw CallerException.notRetryable(Statuses.BAD_REQUEST, "bad-body", "the body could not be read");
         } finally {
-            limit.over();
+            limit.finish();
             timer.cancel();
         }
     }
 
     /** Takes what the caller is still sending: closing a connection with unread bytes would lose the refusal on its way. */
     private static void discardRest(InputStream in) throws IOException {
-        byte[] piece = new byte[PIECE_BYTES];
+        byte[] piece = new byte[CHUNK_BYTES];
         long left = MAX_DISCARDED_BYTES;
         int read = in.read(piece);
         while (read >= 0 && left > 0) {
@@ -67,28 +67,28 @@
     }
 
     /** Ends a read that takes too long. Interrupting the reader closes its connection; closing the exchange would wait. */
-    private static final class Limit {
+    private static final class ReadTimeout {
         private final HttpExchange exchange;
         private final Thread reader;
-        private boolean over;
+        private boolean finished;
         private boolean interrupted;
 
-        Limit(HttpExchange exchange, Thread reader) {
+        ReadTimeout(HttpExchange exchange, Thread reader) {
             this.exchange = exchange;
             this.reader = reader;
         }
 
-        synchronized void reached() {
-            if (!over) {
-                refuseSlow(exchange);
+        synchronized void expire() {
+            if (!finished) {
+                sendTooSlow(exchange);
                 interrupted = true;
                 reader.interrupt();
             }
         }
 
         /** Ends the watch and returns whether the limit was reached. */
-        synchronized boolean over() {
-            over = true;
+        synchronized boolean finish() {
+            finished = true;
             if (interrupted) {
                 Thread.interrupted();
             }
@@ -96,7 +96,7 @@
         }
     }
 
-    private static void refuseSlow(HttpExchange exchange) {
+    private static void sendTooSlow(HttpExchange exchange) {
         try {
             byte[] body = "{\"error\":{\"code\":\"too-slow\",\"outcome\":\"not-run\",\"retry_safe\":true}}"
                     .getBytes(java.nio.charset.StandardCharsets.US_ASCII);
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerException.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerException.java
@@ -23,12 +23,12 @@
     }
 
     /** Returns the error for a request that is wrong in itself: sending it again doesn't help. */
-    static CallerException bad(int status, String code, String message) {
+    static CallerException notRetryable(int status, String code, String message) {
         return new CallerException(status, code, message, Outcome.NOT_RUN, false, 0);
     }
 
     /** Returns the error for a request that may be sent again later. */
-    static CallerException later(int status, String code, String message, long retryAfterMillis) {
+    static CallerException retryable(int status, String code, String message, long retryAfterMillis) {
         return new CallerException(status, code, message, Outcome.NOT_RUN, true, retryAfterMillis);
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerServer.java
@@ -28,7 +28,7 @@
 public final class CallerServer implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int MAX_THREADS = 4_000;
-    private static final long IDLE_SECONDS = 10;
+    private static final long THREAD_IDLE_SECONDS = 10;
 
     /** Answers one kind of request. */
     @FunctionalInterface
@@ -50,9 +50,14 @@
             Listen listen, CatalogueInForce inForce, Metrics metrics, TimerService timers, EntryRouter router) {
         this.router = router;
         this.executor = new ThreadPoolExecutor(
-                0, MAX_THREADS, IDLE_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), Threads.named("caller"));
+                0,
+                MAX_THREADS,
+                THREAD_IDLE_SECONDS,
+                TimeUnit.SECONDS,
+                new SynchronousQueue<>(),
+                Threads.named("caller"));
         this.server = HttpServers.create(listen.host(), listen.port(), executor);
-        Admittance admittance = new Admittance(inForce, new EntryLimiter(), router, metrics);
+        RequestAdmission admittance = new RequestAdmission(inForce, new EntryLimiter(), router, metrics);
         BodyReader bodies = new BodyReader(timers);
         CompletionHandler completions = new CompletionHandler(admittance, bodies, router, metrics);
         ServiceHandler services = new ServiceHandler(admittance, bodies, router, metrics);
@@ -78,7 +83,7 @@
     }
 
     private static void noSuchPath(HttpExchange exchange, RequestId id) {
-        throw CallerException.bad(Statuses.NOT_FOUND, "no-such-path", "there is nothing at this path");
+        throw CallerException.notRetryable(Statuses.NOT_FOUND, "no-such-path", "there is nothing at this path");
     }
 
     @Override
@@ -104,9 +109,9 @@
     private void serve(HttpExchange exchange, Handler handler) {
         RequestId id = router.nextRequestId();
         try (ErrorReply errors = new ErrorReply(exchange, id)) {
-            if (!enter()) {
+            if (!beginRequest()) {
                 CallerException stopping =
-                        CallerException.later(Statuses.UNAVAILABLE, "stopping", "this entry is stopping", 1);
+                        CallerException.retryable(Statuses.UNAVAILABLE, "stopping", "this entry is stopping", 1);
                 boolean keyed = header(exchange, "Idempotency-Key") != null;
                 errors.send(keyed ? stopping.forKeyedRequest() : stopping);
                 return;
@@ -121,12 +126,12 @@
                 logger.atSevere().withCause(e).log("event=request-failed request=%s", id);
                 errors.internal();
             } finally {
-                leave();
+                endRequest();
             }
         }
     }
 
-    private boolean enter() {
+    private boolean beginRequest() {
         synchronized (lock) {
             if (closed) {
                 return false;
@@ -136,7 +141,7 @@
         }
     }
 
-    private void leave() {
+    private void endRequest() {
         synchronized (lock) {
             inFlight--;
             lock.notifyAll();
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/BegunResponse.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/ChunkedResponse.java
@@ -5,26 +5,26 @@
 import java.io.OutputStream;
 
 /** A response of unknown length that is begun once and written piece by piece. Used by one thread. */
-final class BegunResponse {
+final class ChunkedResponse {
     private final HttpExchange exchange;
     private final String contentType;
-    private boolean begun;
+    private boolean started;
 
-    BegunResponse(HttpExchange exchange, String contentType) {
+    ChunkedResponse(HttpExchange exchange, String contentType) {
         this.exchange = exchange;
         this.contentType = contentType;
     }
 
-    boolean begun() {
-        return begun;
+    boolean isStarted() {
+        return started;
     }
 
     /** Sends the status and the headers, and then the first bytes. Returns false when the caller is gone. */
-    boolean begin(byte[] first) {
-        if (begun) {
+    boolean start(byte[] first) {
+        if (started) {
             return true;
         }
-        begun = true;
+        started = true;
         exchange.getResponseHeaders().set("Content-Type", contentType);
         exchange.getResponseHeaders().set("Cache-Control", "no-store");
         try {
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/CompletionHandler.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/CompletionHandler.java
@@ -22,12 +22,12 @@
     private static final int AFFINITY_CHARS = 1024;
     private static final long NO_DEADLINE_MILLIS = Duration.ofDays(1).toMillis();
 
-    private final Admittance admittance;
+    private final RequestAdmission admittance;
     private final BodyReader bodies;
     private final EntryRouter router;
     private final Metrics metrics;
 
-    CompletionHandler(Admittance admittance, BodyReader bodies, EntryRouter router, Metrics metrics) {
+    CompletionHandler(RequestAdmission admittance, BodyReader bodies, EntryRouter router, Metrics metrics) {
         this.admittance = admittance;
         this.bodies = bodies;
         this.router = router;
@@ -47,7 +47,7 @@
     private OwnerSpec authenticate(HttpExchange exchange) {
         OwnerSpec owner = admittance.owner(exchange);
         if (!exchange.getRequestMethod().equals("POST")) {
-            throw CallerException.bad(Statuses.METHOD_NOT_ALLOWED, "bad-method", "expected POST");
+            throw CallerException.notRetryable(Statuses.METHOD_NOT_ALLOWED, "bad-method", "expected POST");
         }
         return owner;
     }
@@ -55,22 +55,22 @@
     private void answer(HttpExchange exchange, RequestId id, OwnerSpec owner, Prompt prompt, AnswerFormat format) {
         long arrived = System.nanoTime();
         CompletionRequest request = request(exchange, id, owner, prompt);
-        admittance.enter(request.entry());
+        admittance.admit(request.entry());
         try {
             CallerAnswer answer = prompt.stream()
                     ? new StreamedAnswer(exchange, id, prompt.model(), format)
-                    : new WholeAnswer(exchange, id, prompt.model(), format);
-            TimedSink sink = new TimedSink(answer, arrived);
+                    : new JsonAnswer(exchange, id, prompt.model(), format);
+            TimingSink sink = new TimingSink(answer, arrived);
             RunResult result = router.run(request, sink);
             record(request.entry(), result, sink);
-            if (result.outcome() != Outcome.ANSWERED && sink.admittedAfter().isPresent()) {
+            if (result.outcome() != Outcome.ANSWERED && sink.timeToAdmission().isPresent()) {
                 logger.atInfo().log(
                         "event=answer-not-whole request=%s code=%s outcome=%s outputs=%d message=\"%s\"",
                         id, result.code(), result.outcome().label(), result.outputs(), result.message());
             }
             answer.end(result);
         } finally {
-            admittance.leave(request.entry());
+            admittance.release(request.entry());
         }
     }
 
@@ -78,20 +78,21 @@
         Catalogue catalogue = admittance.catalogue();
         ModelSpec model = catalogue.models().get(prompt.model());
         if (model == null) {
-            throw admittance.lacking(Statuses.NOT_FOUND, "unknown-model", "there is no model of this name");
+            throw admittance.notInCatalogue(Statuses.NOT_FOUND, "unknown-model", "there is no model of this name");
         }
         EntrySpec entry = catalogue
                 .modelEntry(owner.name(), model.name(), prompt.tokens())
-                .orElseThrow(() -> admittance.lacking(
+                .orElseThrow(() -> admittance.notInCatalogue(
                         Statuses.FORBIDDEN, "no-entry", "the owner has no catalogue entry for this model"));
         int longest = entry.limits().promptTokens();
         if (prompt.tokens() > longest) {
-            throw CallerException.bad(
+            throw CallerException.notRetryable(
                     Statuses.CONTENT_TOO_LARGE, "prompt-too-long", "the prompt is longer than " + longest + " tokens");
         }
         int most = entry.limits().outputTokens();
         if (prompt.maxTokens() > most) {
-            throw CallerException.bad(Statuses.BAD_REQUEST, "too-many-tokens", "max_tokens: expected at most " + most);
+            throw CallerException.notRetryable(
+                    Statuses.BAD_REQUEST, "too-many-tokens", "max_tokens: expected at most " + most);
         }
         int outputs = prompt.maxTokens() == 0 ? most : prompt.maxTokens();
         String beginning = prompt.text()
@@ -108,13 +109,13 @@
                 prompt.engineBody(outputs));
     }
 
-    private void record(EntrySpec entry, RunResult result, TimedSink sink) {
+    private void record(EntrySpec entry, RunResult result, TimingSink sink) {
         String owner = entry.owner();
-        boolean good = result.outcome() == Outcome.ANSWERED && sink.within(entry.targets());
+        boolean good = result.outcome() == Outcome.ANSWERED && sink.meetsTargets(entry.targets());
         metrics.outcome(owner, entry.workClass(), result.outcome(), good);
-        sink.admittedAfter().ifPresent(wait -> metrics.queueWait(owner, entry.workClass(), wait));
-        sink.firstAfter().ifPresent(time -> metrics.firstOutput(owner, entry.workClass(), time));
-        sink.meanBetween().ifPresent(time -> metrics.steadyOutput(owner, entry.workClass(), time));
+        sink.timeToAdmission().ifPresent(wait -> metrics.queueWait(owner, entry.workClass(), wait));
+        sink.timeToFirstOutput().ifPresent(time -> metrics.firstOutput(owner, entry.workClass(), time));
+        sink.meanTimeBetweenOutputs().ifPresent(time -> metrics.steadyOutput(owner, entry.workClass(), time));
         if (result.outcome() != Outcome.ANSWERED) {
             metrics.refusal(result.code());
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/ErrorReply.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/ErrorReply.java
@@ -16,7 +16,7 @@
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int NOT_COMMITTED = -1;
     /** How much of an unread body the JDK's server takes after an answer to keep the connection. */
-    private static final long READ_AFTER_ANSWER_BYTES = 64 << 10;
+    private static final long MAX_DRAINED_BYTES = 64 << 10;
 
     private final HttpExchange exchange;
     private final RequestId id;
@@ -65,13 +65,13 @@
      * Returns whether the request's body may be longer than what the server reads of it after an answer. It then closes the
      * connection, and a caller that isn't told so sends its next request into the closing.
      */
-    private boolean mayLeaveUnread() {
+    private boolean mayHaveUnreadBody() {
         String length = CallerServer.header(exchange, "Content-Length");
         if (length == null) {
             return CallerServer.header(exchange, "Transfer-Encoding") != null;
         }
         // The server refuses a length that is no number before it hands a request over.
-        return Long.parseLong(length.trim()) > READ_AFTER_ANSWER_BYTES;
+        return Long.parseLong(length.trim()) > MAX_DRAINED_BYTES;
     }
 
     private void write(int status, ObjectNode body) {
@@ -80,7 +80,7 @@
         }
         try {
             byte[] bytes = Json.write(body);
-            if (mayLeaveUnread()) {
+            if (mayHaveUnreadBody()) {
                 exchange.getResponseHeaders().set("Connection", "close");
             }
             exchange.getResponseHeaders().set("Content-Type", "application/json");
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/WholeAnswer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/JsonAnswer.java
@@ -11,18 +11,18 @@
  * An answer as one JSON document. The response is begun when the request is admitted; white space before the document
  * finds out if the caller is still there. After that an error can only be told in the document.
  */
-final class WholeAnswer implements CallerAnswer {
+final class JsonAnswer implements CallerAnswer {
     private static final byte[] SPACE = {' '};
 
-    private final BegunResponse response;
+    private final ChunkedResponse response;
     private final RequestId id;
     private final String model;
     private final AnswerFormat format;
     private final StringBuilder text = new StringBuilder();
     private long probedAt;
 
-    WholeAnswer(HttpExchange exchange, RequestId id, String model, AnswerFormat format) {
-        this.response = new BegunResponse(exchange, "application/json");
+    JsonAnswer(HttpExchange exchange, RequestId id, String model, AnswerFormat format) {
+        this.response = new ChunkedResponse(exchange, "application/json");
         this.id = id;
         this.model = model;
         this.format = format;
@@ -31,7 +31,7 @@
     @Override
     public boolean admitted() {
         probedAt = System.nanoTime();
-        return response.begin(SPACE);
+        return response.start(SPACE);
     }
 
     @Override
@@ -49,11 +49,11 @@
 
     @Override
     public void end(RunResult result) {
-        if (!response.begun()) {
+        if (!response.isStarted()) {
             throw CallerException.of(result);
         }
         ObjectNode body = result.outcome() == Outcome.ANSWERED
-                ? format.whole(id, model, text.toString(), result.finishReason())
+                ? format.complete(id, model, text.toString(), result.finishReason())
                 : ErrorReply.body(CallerException.of(result), id);
         response.write(Json.write(body));
     }
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/ModelsHandler.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/ModelsHandler.java
@@ -12,9 +12,9 @@
 
 /** Lists the models for which the caller's owner has catalogue entries. Thread-safe. */
 final class ModelsHandler {
-    private final Admittance admittance;
+    private final RequestAdmission admittance;
 
-    ModelsHandler(Admittance admittance) {
+    ModelsHandler(RequestAdmission admittance) {
         this.admittance = admittance;
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/Prompt.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/Prompt.java
@@ -93,7 +93,7 @@
     }
 
     private static CallerException bad(String message) {
-        return CallerException.bad(Statuses.BAD_REQUEST, "bad-request", message);
+        return CallerException.notRetryable(Statuses.BAD_REQUEST, "bad-request", message);
     }
 
     /** Returns the request for the engine: all the caller's fields, with the prompt as one text. */
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/Admittance.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/RequestAdmission.java
@@ -15,7 +15,7 @@
 import org.quetzalseam.daemon.operator.Metrics;
 
 /** Decides who a caller is and whether its request is within the limits of its catalogue entry. Thread-safe. */
-final class Admittance {
+final class RequestAdmission {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final String IN_DOUBT = "catalogue-in-doubt";
     /** When to come back to an entry that is out of reach of the store: it asks about once a second. */
@@ -27,14 +27,14 @@
     private static final long CONCURRENCY_RETRY_MILLIS = 1_000;
 
     /** How long a caller of an entry that has just started is kept until it has read its catalogue: some answers of the store. */
-    private static final Duration START_WAIT = Duration.ofMillis(800);
+    private static final Duration FIRST_CATALOGUE_TIMEOUT = Duration.ofMillis(800);
 
     private final CatalogueInForce inForce;
     private final EntryLimiter limiter;
     private final EntryRouter router;
     private final Metrics metrics;
 
-    Admittance(CatalogueInForce inForce, EntryLimiter limiter, EntryRouter router, Metrics metrics) {
+    RequestAdmission(CatalogueInForce inForce, EntryLimiter limiter, EntryRouter router, Metrics metrics) {
         this.inForce = inForce;
         this.limiter = limiter;
         this.router = router;
@@ -47,33 +47,36 @@
 
     /** Returns the owner whose token the request carries. */
     OwnerSpec owner(HttpExchange exchange) {
-        if (!inForce.awaitFirst(START_WAIT)) {
-            throw CallerException.later(Statuses.UNAVAILABLE, "no-catalogue", "this entry has no catalogue yet", 1_000);
+        if (!inForce.awaitFirst(FIRST_CATALOGUE_TIMEOUT)) {
+            throw CallerException.retryable(
+                    Statuses.UNAVAILABLE, "no-catalogue", "this entry has no catalogue yet", 1_000);
         }
         String header = CallerServer.header(exchange, "Authorization");
         if (header == null || !header.startsWith(BEARER)) {
-            throw CallerException.bad(Statuses.UNAUTHORIZED, "no-token", "expected 'Authorization: Bearer TOKEN'");
+            throw CallerException.notRetryable(
+                    Statuses.UNAUTHORIZED, "no-token", "expected 'Authorization: Bearer TOKEN'");
         }
         String digest = Digests.of(header.substring(BEARER.length()).strip());
         return catalogue()
                 .ownerOf(digest)
-                .orElseThrow(() -> lacking(Statuses.UNAUTHORIZED, "unknown-token", "the token belongs to no owner"));
+                .orElseThrow(
+                        () -> notInCatalogue(Statuses.UNAUTHORIZED, "unknown-token", "the token belongs to no owner"));
     }
 
     /**
      * Returns the error for a request that the catalogue doesn't provide for. What this process lacks may have been added since it last
      * heard of the store: then it can't know, and doesn't deny it.
      */
-    CallerException lacking(int status, String code, String message) {
+    CallerException notInCatalogue(int status, String code, String message) {
         long now = System.nanoTime();
         if (inForce.isKnownCurrent(now)) {
-            return CallerException.bad(status, code, message);
+            return CallerException.notRetryable(status, code, message);
         }
         metrics.refusal(IN_DOUBT);
         logger.atInfo().log(
                 "event=%s code=%s catalogue_version=%d word_age_ms=%d",
                 IN_DOUBT, code, inForce.version(), inForce.ageMillis(now));
-        return CallerException.later(
+        return CallerException.retryable(
                 Statuses.UNAVAILABLE, IN_DOUBT, "this entry can't know whether " + message, IN_DOUBT_RETRY_MILLIS);
     }
 
@@ -91,7 +94,7 @@
         } catch (NumberFormatException expected) {
             // Reported below, in the same words as a number out of bounds.
         }
-        throw CallerException.bad(
+        throw CallerException.notRetryable(
                 Statuses.BAD_REQUEST,
                 "bad-header",
                 "X-Request-Deadline-Ms: expected milliseconds from 1 to " + MAX_DEADLINE_MILLIS);
@@ -102,14 +105,14 @@
         Optional<String> key = Optional.ofNullable(CallerServer.header(exchange, "Idempotency-Key"));
         int longest = 255;
         if (key.isPresent() && (key.get().isBlank() || key.get().length() > longest)) {
-            throw CallerException.bad(
+            throw CallerException.notRetryable(
                     Statuses.BAD_REQUEST, "bad-header", "Idempotency-Key: expected 1 to " + longest + " characters");
         }
         return key;
     }
 
-    /** Counts a request in, or refuses it. What was counted in must be counted out by {@link #leave}. */
-    void enter(EntrySpec entry) {
+    /** Counts a request in, or refuses it. What was counted in must be counted out by {@link #release}. */
+    void admit(EntrySpec entry) {
         long now = System.nanoTime();
         Verdict verdict = limiter.enter(entry, router.entryCount(), now);
         if (verdict == Verdict.ENTERED) {
@@ -121,11 +124,11 @@
         long retry = rate
                 ? Math.max(1, limiter.retryAfterNanos(entry.name(), now) / NANOS_PER_MILLI)
                 : CONCURRENCY_RETRY_MILLIS;
-        throw CallerException.later(
+        throw CallerException.retryable(
                 Statuses.TOO_MANY_REQUESTS, code, "more requests than entry " + entry.name() + " allows", retry);
     }
 
-    void leave(EntrySpec entry) {
+    void release(EntrySpec entry) {
         limiter.leave(entry.name());
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/ServiceHandler.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/ServiceHandler.java
@@ -25,14 +25,15 @@
     private static final long DEFAULT_DEADLINE_MILLIS = 30_000;
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
-    private static final Set<String> NOT_PASSED = Set.of("authorization", "idempotency-key", "x-request-deadline-ms");
+    private static final Set<String> NOT_FORWARDED_HEADERS =
+            Set.of("authorization", "idempotency-key", "x-request-deadline-ms");
 
-    private final Admittance admittance;
+    private final RequestAdmission admittance;
     private final BodyReader bodies;
     private final EntryRouter router;
     private final Metrics metrics;
 
-    ServiceHandler(Admittance admittance, BodyReader bodies, EntryRouter router, Metrics metrics) {
+    ServiceHandler(RequestAdmission admittance, BodyReader bodies, EntryRouter router, Metrics metrics) {
         this.admittance = admittance;
         this.bodies = bodies;
         this.router = router;
@@ -47,14 +48,14 @@
             record(request.entry(), result, Duration.ofNanos(System.nanoTime() - arrived));
             write(exchange, result);
         } finally {
-            admittance.leave(request.entry());
+            admittance.release(request.entry());
         }
     }
 
     private ServiceRequest admit(HttpExchange exchange, RequestId id) throws IOException {
         try {
             ServiceRequest request = request(exchange, id, admittance.owner(exchange));
-            admittance.enter(request.entry());
+            admittance.admit(request.entry());
             return request;
         } catch (CallerException e) {
             throw CallerServer.header(exchange, "Idempotency-Key") == null ? e : e.forKeyedRequest();
@@ -69,12 +70,12 @@
         Catalogue catalogue = admittance.catalogue();
         ServiceSpec service = catalogue.services().get(name);
         if (service == null) {
-            throw admittance.lacking(Statuses.NOT_FOUND, "unknown-service", "there is no service of this name");
+            throw admittance.notInCatalogue(Statuses.NOT_FOUND, "unknown-service", "there is no service of this name");
         }
         String method = exchange.getRequestMethod().toUpperCase(Locale.ROOT);
         EntrySpec entry = catalogue
                 .serviceEntry(owner.name(), name, method)
-                .orElseThrow(() -> admittance.lacking(
+                .orElseThrow(() -> admittance.notInCatalogue(
                         Statuses.FORBIDDEN,
                         "no-entry",
                         "the owner has no catalogue entry for this service and method"));
@@ -99,7 +100,7 @@
     private static Map<String, String> headers(HttpExchange exchange, RequestId id) {
         Map<String, String> headers = new HashMap<>();
         exchange.getRequestHeaders().forEach((name, values) -> {
-            if (HttpServiceClient.isForwarded(name) && !NOT_PASSED.contains(name.toLowerCase(Locale.ROOT))) {
+            if (HttpServiceClient.isForwarded(name) && !NOT_FORWARDED_HEADERS.contains(name.toLowerCase(Locale.ROOT))) {
                 headers.put(name, String.join(", ", values));
             }
         });
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/StreamedAnswer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/StreamedAnswer.java
@@ -12,13 +12,13 @@
 final class StreamedAnswer implements CallerAnswer {
     private static final byte[] COMMENT = ": waiting\n\n".getBytes(StandardCharsets.US_ASCII);
 
-    private final BegunResponse response;
+    private final ChunkedResponse response;
     private final RequestId id;
     private final String model;
     private final AnswerFormat format;
 
     StreamedAnswer(HttpExchange exchange, RequestId id, String model, AnswerFormat format) {
-        this.response = new BegunResponse(exchange, "text/event-stream");
+        this.response = new ChunkedResponse(exchange, "text/event-stream");
         this.id = id;
         this.model = model;
         this.format = format;
@@ -26,7 +26,7 @@
 
     @Override
     public boolean admitted() {
-        return response.begin(COMMENT);
+        return response.start(COMMENT);
     }
 
     @Override
@@ -46,7 +46,7 @@
 
     @Override
     public void end(RunResult result) {
-        if (!response.begun()) {
+        if (!response.isStarted()) {
             throw CallerException.of(result);
         }
         if (result.outcome() != Outcome.ANSWERED) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/TimedSink.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/TimingSink.java
@@ -6,7 +6,7 @@
 import org.quetzalseam.daemon.entry.AnswerSink;
 
 /** Passes outputs on and notes when they came. Used by one thread. */
-final class TimedSink implements AnswerSink {
+final class TimingSink implements AnswerSink {
     private final AnswerSink sink;
     private final long arrived;
     private Optional<Long> admitted = Optional.empty();
@@ -14,7 +14,7 @@
     private long last;
     private int outputs;
 
-    TimedSink(AnswerSink sink, long arrived) {
+    TimingSink(AnswerSink sink, long arrived) {
         this.sink = sink;
         this.arrived = arrived;
     }
@@ -42,21 +42,21 @@
         return sink.output(text);
     }
 
-    Optional<Duration> admittedAfter() {
+    Optional<Duration> timeToAdmission() {
         return admitted.map(at -> Duration.ofNanos(at - arrived));
     }
 
-    Optional<Duration> firstAfter() {
+    Optional<Duration> timeToFirstOutput() {
         return outputs == 0 ? Optional.empty() : Optional.of(Duration.ofNanos(first - arrived));
     }
 
-    Optional<Duration> meanBetween() {
+    Optional<Duration> meanTimeBetweenOutputs() {
         return outputs < 2 ? Optional.empty() : Optional.of(Duration.ofNanos((last - first) / (outputs - 1)));
     }
 
-    boolean within(Targets targets) {
-        boolean prompt = firstAfter().map(Duration::toMillis).orElse(0L) <= targets.firstOutputMillis();
-        boolean steady = meanBetween().map(Duration::toMillis).orElse(0L) <= targets.steadyOutputMillis();
+    boolean meetsTargets(Targets targets) {
+        boolean prompt = timeToFirstOutput().map(Duration::toMillis).orElse(0L) <= targets.firstOutputMillis();
+        boolean steady = meanTimeBetweenOutputs().map(Duration::toMillis).orElse(0L) <= targets.steadyOutputMillis();
         return prompt && steady;
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueWatch.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/catalogue/CatalogueWatch.java
@@ -25,7 +25,7 @@
     public CatalogueWatch(CatalogueStore store, CatalogueInForce inForce, String processName) {
         this.store = store;
         this.inForce = inForce;
-        this.loop = new WatchLoop(processName + "-catalogue-watch", this::follow);
+        this.loop = new WatchLoop(processName + "-catalogue-watch", this::poll);
     }
 
     @Override
@@ -33,13 +33,13 @@
         loop.start();
     }
 
-    private void follow(Duration wait) {
+    private void poll(Duration wait) {
         long askedAt = System.nanoTime();
-        store.watch(CatalogueStore.ACCEPTED, storeVersion, wait).ifPresent(this::take);
+        store.watch(CatalogueStore.ACCEPTED, storeVersion, wait).ifPresent(this::apply);
         inForce.confirm(askedAt);
     }
 
-    private void take(Versioned<Manifest> read) {
+    private void apply(Versioned<Manifest> read) {
         Manifest manifest = read.value();
         if (manifest.version() > inForce.version()) {
             Accepted accepted = store.load(manifest);
--- a/daemon/src/main/java/org/quetzalseam/daemon/catalogue/ProposalReview.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/catalogue/ProposalReview.java
@@ -37,7 +37,7 @@
     public ProposalReview(CatalogueStore store, int rank, String processName) {
         this.store = store;
         this.rank = rank;
-        this.loop = new WatchLoop(processName + "-proposal-review", this::follow);
+        this.loop = new WatchLoop(processName + "-proposal-review", this::poll);
     }
 
     @Override
@@ -45,11 +45,11 @@
         loop.start();
     }
 
-    private void follow(Duration wait) {
-        store.watch(CatalogueStore.PROPOSAL, storeVersion, wait).ifPresent(this::take);
+    private void poll(Duration wait) {
+        store.watch(CatalogueStore.PROPOSAL, storeVersion, wait).ifPresent(this::reviewInRankOrder);
     }
 
-    private void take(Versioned<Manifest> proposal) {
+    private void reviewInRankOrder(Versioned<Manifest> proposal) {
         loop.pause(rank * RANK_DELAY_MILLIS);
         review(proposal.value());
         storeVersion = proposal.storeVersion();
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/EndpointDaemon.java
@@ -14,7 +14,7 @@
 import org.quetzalseam.core.admission.WorkQueue;
 import org.quetzalseam.core.attempt.AttemptId;
 import org.quetzalseam.core.attempt.AttemptTable;
-import org.quetzalseam.daemon.ProcessKeys;
+import org.quetzalseam.daemon.ProcessSecurity;
 import org.quetzalseam.daemon.engine.HttpEngine;
 import org.quetzalseam.daemon.operator.Metrics;
 import org.quetzalseam.daemon.operator.OperatorServer;
@@ -84,8 +84,8 @@
                 settings.listen().host(),
                 settings.listen().port(),
                 self,
-                ProcessKeys.siteKey(settings.security()),
-                ProcessKeys.transport(settings.security()),
+                ProcessSecurity.siteKey(settings.security()),
+                ProcessSecurity.transport(settings.security()),
                 new Receiver(),
                 sessions::opened);
         Metrics metrics = new Metrics();
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
@@ -8,7 +8,7 @@
 import org.quetzalseam.core.catalogue.CatalogueInForce;
 import org.quetzalseam.core.limits.RetryBudget;
 import org.quetzalseam.core.placement.Placement;
-import org.quetzalseam.daemon.ProcessKeys;
+import org.quetzalseam.daemon.ProcessSecurity;
 import org.quetzalseam.daemon.operator.Metrics;
 import org.quetzalseam.daemon.platform.ObjectStore;
 import org.quetzalseam.daemon.settings.Settings;
@@ -55,8 +55,8 @@
         this.site = new SiteSync(inForce, fleet);
         LinkContext links = new LinkContext(
                 self,
-                ProcessKeys.siteKey(settings.security()),
-                ProcessKeys.transport(settings.security()),
+                ProcessSecurity.siteKey(settings.security()),
+                ProcessSecurity.transport(settings.security()),
                 timers,
                 settings.timing(),
                 site,
--- a/daemon/src/main/java/org/quetzalseam/daemon/operator/Metrics.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/operator/Metrics.java
@@ -20,7 +20,7 @@
  */
 public final class Metrics {
     private static final int MAX_OWNERS = 500;
-    private static final String OTHER = "other";
+    private static final String OTHER_OWNERS = "other";
     private static final Duration[] FIRST_OUTPUT_BUCKETS = millis(5, 20, 50, 100, 200, 500, 1300, 3000, 8000, 20000);
     private static final Duration[] STEADY_BUCKETS = millis(5, 10, 20, 30, 50, 69, 100, 200, 500);
 
@@ -35,17 +35,17 @@
         return durations;
     }
 
-    private String owner(String name) {
+    private String ownerLabel(String name) {
         if (owners.contains(name) || (owners.size() < MAX_OWNERS && owners.add(name))) {
             return name;
         }
-        return OTHER;
+        return OTHER_OWNERS;
     }
 
     private Timer timer(String name, Duration[] buckets, String owner, WorkClass workClass) {
         return Timer.builder(name)
                 .serviceLevelObjectives(buckets)
-                .tag("owner", owner(owner))
+                .tag("owner", ownerLabel(owner))
                 .tag("class", workClass.label())
                 .register(registry);
     }
@@ -69,7 +69,7 @@
     /** Counts a request's outcome, and whether it met both latency targets. */
     public void outcome(String owner, WorkClass workClass, Outcome outcome, boolean good) {
         Counter.builder("quetzalseam.requests")
-                .tag("owner", owner(owner))
+                .tag("owner", ownerLabel(owner))
                 .tag("class", workClass.label())
                 .tag("outcome", outcome.label())
                 .tag("good", Boolean.toString(good))
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/HttpObjectStore.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/HttpObjectStore.java
@@ -41,7 +41,7 @@
 
     private final String base;
     private final HttpClient client;
-    private final AnswerEra era = new AnswerEra();
+    private final StoreEraTracker era = new StoreEraTracker();
 
     /** Creates a client of the store at a base address such as {@code http://10.0.0.5:8001}. */
     public HttpObjectStore(String base) {
@@ -61,7 +61,7 @@
         try {
             HttpResponse<byte[]> response = client.send(request, BodyHandlers.ofByteArray());
             boolean success = response.statusCode() < SERVER_ERROR;
-            era.take(response.headers().firstValue(AnswerEra.HEADER), success);
+            era.update(response.headers().firstValue(StoreEraTracker.HEADER), success);
             if (!success) {
                 throw new StoreException(Code.UNAVAILABLE, "the store answered " + response.statusCode(), null);
             }
@@ -84,7 +84,7 @@
 
     private static long version(HttpResponse<byte[]> response, JsonNode node) {
         long revision = node.path("metadata").path("resourceVersion").asLong();
-        return new StorePosition(AnswerEra.of(response), revision).number();
+        return new StorePosition(StoreEraTracker.of(response), revision).number();
     }
 
     private static JsonNode json(HttpResponse<byte[]> response) {
@@ -125,7 +125,7 @@
     @Override
     public StoredObject replace(String name, byte[] value, long version) {
         StorePosition condition = StorePosition.ofNumber(version);
-        if (condition.era() != era.known()) {
+        if (condition.era() != era.newest()) {
             // Its revision may name what another has written since.
             throw new StoreException(Code.CONFLICT, "the store came back from an older copy", null);
         }
@@ -148,7 +148,7 @@
 
     private String watchQuery(long version, Duration wait) {
         StorePosition seen = StorePosition.ofNumber(version);
-        long revision = seen.era() == era.known() ? seen.revision() : 0;
+        long revision = seen.era() == era.newest() ? seen.revision() : 0;
         return "?watch=true&resourceVersion=" + revision + "&timeoutMillis=" + wait.toMillis();
     }
 
@@ -184,7 +184,7 @@
 
     @Override
     public long era() {
-        return era.known();
+        return era.newest();
     }
 
     private static Vm vm(JsonNode item) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/AnswerEra.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/StoreEraTracker.java
@@ -10,22 +10,22 @@
  * The era of the store's answers: 0 at first, it rises by one each time the store comes back from an older copy. A store that states
  * none has one era. Thread-safe.
  */
-final class AnswerEra {
+final class StoreEraTracker {
     static final String HEADER = "Store-Era";
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    private long known = StorePosition.NO_ERA;
+    private long newest = StorePosition.NO_ERA;
     private boolean stated;
 
     /** Returns the newest era that an answer has stated. */
-    synchronized long known() {
-        return known;
+    synchronized long newest() {
+        return newest;
     }
 
     /** Returns the era of an answer that has been taken. */
     static long of(HttpResponse<?> answer) {
-        return answer.headers().firstValue(HEADER).map(AnswerEra::parse).orElse(StorePosition.NO_ERA);
+        return answer.headers().firstValue(HEADER).map(StoreEraTracker::parse).orElse(StorePosition.NO_ERA);
     }
 
     private static long parse(String header) {
@@ -43,7 +43,7 @@
      * @param success whether the answer brings what was asked for; others may come from before the store and say nothing
      * @throws StoreException if the answer can't be used: what it shows or did may be gone
      */
-    synchronized void take(Optional<String> header, boolean success) {
+    synchronized void update(Optional<String> header, boolean success) {
         if (header.isEmpty()) {
             if (stated && success) {
                 throw unusable("missing", "expected it, as in earlier answers");
@@ -51,18 +51,18 @@
             return;
         }
         long era = parse(header.get());
-        if (era < known || era > StorePosition.MAX_ERA) {
-            throw unusable(header.get(), "expected a whole number from " + known + " to " + StorePosition.MAX_ERA);
+        if (era < newest || era > StorePosition.MAX_ERA) {
+            throw unusable(header.get(), "expected a whole number from " + newest + " to " + StorePosition.MAX_ERA);
         }
-        if (stated && era > known) {
-            logger.atWarning().log("event=store-era-risen before=%d era=%d", known, era);
+        if (stated && era > newest) {
+            logger.atWarning().log("event=store-era-risen before=%d era=%d", newest, era);
         }
-        known = era;
+        newest = era;
         stated = true;
     }
 
     private StoreException unusable(String header, String detail) {
-        logger.atWarning().log("event=store-era-unusable era=%d header=\"%s\" detail=\"%s\"", known, header, detail);
+        logger.atWarning().log("event=store-era-unusable era=%d header=\"%s\" detail=\"%s\"", newest, header, detail);
         return new StoreException(Code.UNAVAILABLE, "header " + HEADER + " is '" + header + "': " + detail, null);
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/WatchLoop.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/WatchLoop.java
@@ -18,12 +18,12 @@
  */
 public final class WatchLoop implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final long RETRY_MILLIS = 500;
+    private static final long MIN_RETRY_MILLIS = 500;
     /** How long a round waits for something new. */
-    private static final Duration WAIT = Duration.ofSeconds(5);
+    private static final Duration POLL_WAIT = Duration.ofSeconds(5);
 
     private final String name;
-    private final Consumer<Duration> round;
+    private final Consumer<Duration> poll;
     private final Thread thread;
     private final CountDownLatch stopped = new CountDownLatch(1);
 
@@ -35,8 +35,8 @@
      */
     public WatchLoop(String name, Consumer<Duration> round) {
         this.name = name;
-        this.round = round;
-        this.thread = Threads.daemon(name, this::follow);
+        this.poll = round;
+        this.thread = Threads.daemon(name, this::run);
     }
 
     @Override
@@ -44,16 +44,16 @@
         thread.start();
     }
 
-    private void follow() {
-        Duration wait = WAIT;
+    private void run() {
+        Duration wait = POLL_WAIT;
         while (stopped.getCount() > 0) {
             try {
-                round.accept(wait);
-                wait = WAIT;
+                poll.accept(wait);
+                wait = POLL_WAIT;
             } catch (RuntimeException e) {
                 wait = Duration.ZERO;
                 logger.atFine().log("event=watch-failed name=%s reason=\"%s\"", name, e.getMessage());
-                pause(RETRY_MILLIS + ThreadLocalRandom.current().nextLong(RETRY_MILLIS));
+                pause(MIN_RETRY_MILLIS + ThreadLocalRandom.current().nextLong(MIN_RETRY_MILLIS));
             }
         }
     }
--- a/daemon/src/test/java/org/quetzalseam/daemon/caller/BodyReaderTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/caller/BodyReaderTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aCallerWhoSendsItsBodyTooSlowlyIsToldSo() throws IOException {
+    void aBodySentTooSlowlyIsRejectedWithTooSlow() throws IOException {
         BodyReader bodies = new BodyReader(timers, Duration.ofMillis(100));
         server.createContext("/", exchange -> assertThat(bodies.read(exchange)).isNotNull());
         server.start();
--- a/daemon/src/test/java/org/quetzalseam/daemon/catalogue/CatalogueWatchTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/catalogue/CatalogueWatchTest.java
@@ -18,11 +18,11 @@
 
 class CatalogueWatchTest {
     /** Time in which a change is to be in force everywhere. */
-    private static final Duration IN_FORCE = Duration.ofSeconds(14);
+    private static final Duration MAX_TIME_TO_IN_FORCE = Duration.ofSeconds(14);
     /** Longest pause after a call that failed. */
-    private static final Duration PAUSE = Duration.ofSeconds(1);
+    private static final Duration MAX_RETRY_PAUSE = Duration.ofSeconds(1);
 
-    private final SilentStore store = new SilentStore();
+    private final UnresponsiveStore store = new UnresponsiveStore();
     private final CatalogueWatch watch = new CatalogueWatch(new CatalogueStore(store), new CatalogueInForce(), "test");
 
     @AfterEach
@@ -33,16 +33,16 @@
     // Guards against a change that is late as its watch waits at a connection that has gone silent, and then at a
     // second one.
     @Test
-    void twoSilentConnectionsInARowLeaveTimeForAChangeToBeInForce() throws InterruptedException {
+    void aChangeIsInForceInTimeAfterTwoUnresponsiveConnectionsInARow() throws InterruptedException {
         watch.start();
         store.nextWait();
-        Duration silent = store.nextWait().plus(HttpObjectStore.TIMEOUT).plus(PAUSE);
-        Duration silentAgain = store.nextWait().plus(HttpObjectStore.TIMEOUT).plus(PAUSE);
-        assertThat(silent.plus(silentAgain)).isLessThanOrEqualTo(IN_FORCE);
+        Duration silent = store.nextWait().plus(HttpObjectStore.TIMEOUT).plus(MAX_RETRY_PAUSE);
+        Duration silentAgain = store.nextWait().plus(HttpObjectStore.TIMEOUT).plus(MAX_RETRY_PAUSE);
+        assertThat(silent.plus(silentAgain)).isLessThanOrEqualTo(MAX_TIME_TO_IN_FORCE);
     }
 
     /** Answers the first watch with nothing new; the time that the others take to fail isn't waited for. */
-    private static final class SilentStore implements ObjectStore {
+    private static final class UnresponsiveStore implements ObjectStore {
         private final BlockingQueue<Duration> waits = new LinkedBlockingQueue<>();
         private boolean answered;
 
--- a/daemon/src/test/java/org/quetzalseam/daemon/platform/RestoredObjectStoreTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/platform/RestoredObjectStoreTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aVersionThatIsGivenOutAgainIsLaterThanTheOneBefore() {
+    void aVersionReissuedAfterARestoreIsGreaterThanTheOneBefore() {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
@@ -38,7 +38,7 @@
 
     /** The version that the watch names is there again, with another content. */
     @Test
-    void aWatchFromAVersionOfTheEraBeforeIsAnsweredAtOnce() throws Exception {
+    void aWatchFromAVersionOfThePreviousEraIsAnsweredAtOnce() throws Exception {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
@@ -50,7 +50,7 @@
 
     /** As above, and the watch is the first that hears of the new era. */
     @Test
-    void aWatchThatWaitsWhileTheStoreComesBackShowsWhatIsThere() throws Exception {
+    void aWatchThatWaitsDuringARestoreReturnsTheRestoredObject() throws Exception {
         store.create("a", value(1));
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.replace("a", value(2), store.read("a").orElseThrow().version())
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aWriteOnConditionOfAVersionOfTheEraBeforeOverwritesNothing() {
+    void aWriteConditionalOnAVersionOfThePreviousEraOverwritesNothing() {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
@@ -85,7 +85,7 @@
 
     /** Nobody had told the writer of the new era: the write took effect, but not on what it was meant for. */
     @Test
-    void aWriteThatIsAnsweredInALaterEraThanItsConditionIsUnknown() {
+    void aWriteAnsweredInALaterEraThanItsConditionHasAnUnknownOutcome() {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aListOfTheNewEraIsLaterThanAnyBefore() {
+    void aMemberListOfTheNewEraHasAGreaterVersionThanAnyBefore() {
         platform.list(VM);
         PlatformStandIn.Copy copy = platform.copy();
         platform.unlist(VM.name());
@@ -109,7 +109,7 @@
 
     /** Such a watch is answered at once, each time; a follower that took it for a wait that is over would ask without pause. */
     @Test
-    void aWatchOfAnObjectThatTheCopyDoesNotHaveFails() {
+    void aWatchOfAnObjectMissingFromTheRestoredCopyFails() {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
--- a/daemon/src/test/java/org/quetzalseam/daemon/settings/SettingsReaderTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/settings/SettingsReaderTest.java
@@ -12,11 +12,12 @@
 import org.quetzalseam.wire.message.Role;
 
 class SettingsReaderTest {
-    private static final String SOUND = "[process]\nname = n\nzone = z\n[platform]\nurl = http://10.0.0.1:1\n";
+    private static final String VALID_ENTRY_SETTINGS =
+            "[process]\nname = n\nzone = z\n[platform]\nurl = http://10.0.0.1:1\n";
 
     @ParameterizedTest
     @ValueSource(strings = {"landesamt", "kowhai"})
-    void theExamplesAreSound(String deployment) throws IOException {
+    void theExampleSettingsAreValid(String deployment) throws IOException {
         Path directory = Path.of("../examples", deployment, "settings");
         for (Role role : Role.values()) {
             String name = role == Role.ENTRY ? "entry.ini" : "endpoint.ini";
@@ -26,8 +27,9 @@
     }
 
     @Test
-    void everyProblemIsNamedWithItsPlaceAndTheNearestKey() {
-        String text = SOUND + "[listen]\nprot = 1\nport = x\n[timing]\nlease-ms = 500\n[polcy]\nqueue = fair\n";
+    void everyProblemIsReportedWithItsLocationAndTheNearestKey() {
+        String text = VALID_ENTRY_SETTINGS
+                + "[listen]\nprot = 1\nport = x\n[timing]\nlease-ms = 500\n[polcy]\nqueue = fair\n";
         assertThat(SettingsReader.read(Role.ENTRY, "f", text).problems())
                 .extracting(Problem::toString)
                 .anySatisfy(problem -> assertThat(problem).contains("[listen] prot", "did you mean 'port'"))
@@ -38,7 +40,7 @@
 
     @Test
     void anEndpointNeedsABackend() {
-        assertThat(SettingsReader.read(Role.ENDPOINT, "f", SOUND).problems())
+        assertThat(SettingsReader.read(Role.ENDPOINT, "f", VALID_ENTRY_SETTINGS).problems())
                 .extracting(Problem::location)
                 .contains("[backend] kind", "[backend] url");
     }
