--- a/cli/src/main/java/org/quetzalseam/cli/BenchCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/BenchCommand.java
@@ -32,7 +32,7 @@
         },
         mixinStandardHelpOptions = true)
 final class BenchCommand extends PrintingCommand implements Callable<Integer> {
-    private static final int BROKEN = 1;
+    private static final int PROMISES_BROKEN = 1;
     private static final double ADDED_TIME_RATE = 200;
 
     @Option(names = "--deployment", description = "landesamt or kowhai.", defaultValue = "landesamt")
@@ -103,7 +103,7 @@
         ComparisonTable.print(results, out());
         json.ifPresent(file -> write(file, results));
         plot.ifPresent(file -> Plot.write(results, deployment, file));
-        return results.stream().anyMatch(run -> run.violations() > 0) ? BROKEN : 0;
+        return results.stream().anyMatch(run -> run.violations() > 0) ? PROMISES_BROKEN : 0;
     }
 
     private void progress(Measured run) {
@@ -135,6 +135,6 @@
         result.report().print(out);
         out.println("faults: " + new TreeMap<>(result.faults()));
         out.flush();
-        return result.report().violations().isEmpty() ? 0 : BROKEN;
+        return result.report().violations().isEmpty() ? 0 : PROMISES_BROKEN;
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/DemoCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/DemoCommand.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import org.quetzalseam.cli.load.LoadRun;
-import org.quetzalseam.cli.load.Planned;
+import org.quetzalseam.cli.load.PlannedRequest;
 import org.quetzalseam.cli.load.Report;
 import org.quetzalseam.cli.load.Sample;
 import org.quetzalseam.cli.load.Schedule;
@@ -26,8 +26,8 @@
         description = "Runs a whole deployment in this process, with stand-ins, and shows what its callers experience.",
         mixinStandardHelpOptions = true)
 final class DemoCommand extends PrintingCommand implements Callable<Integer> {
-    private static final int BROKEN = 1;
-    private static final Duration PROGRESS = Duration.ofSeconds(2);
+    private static final int PROMISES_BROKEN = 1;
+    private static final Duration PROGRESS_INTERVAL = Duration.ofSeconds(2);
 
     @Option(
             names = "--deployment",
@@ -71,8 +71,8 @@
         out.flush();
         site.start();
         try {
-            List<Traffic> traffic = faster(deployment.traffic());
-            List<Planned> schedule = Schedule.draw(traffic, load, seconds, seed);
+            List<Traffic> traffic = accelerate(deployment.traffic());
+            List<PlannedRequest> schedule = Schedule.draw(traffic, load, seconds, seed);
             out.printf(
                     "sending %d requests over %.0f s at load %.2f, %.0f times real speed%n",
                     schedule.size(), seconds, load, speed);
@@ -80,25 +80,25 @@
             List<Sample> samples = send(site, schedule, out);
             Report report = Report.of(site, traffic, samples);
             report.print(out);
-            boolean broken = !report.violations().isEmpty() || lost(report);
+            boolean broken = !report.violations().isEmpty() || hasLostAnswers(report);
             if (keep) {
-                keepUp(site, out);
+                keepRunning(site, out);
             }
-            return broken ? BROKEN : 0;
+            return broken ? PROMISES_BROKEN : 0;
         } finally {
             site.stop();
         }
     }
 
-    private List<Traffic> faster(List<Traffic> traffic) {
+    private List<Traffic> accelerate(List<Traffic> traffic) {
         return traffic.stream().map(kind -> kind.faster(speed)).toList();
     }
 
-    private List<Sample> send(Site site, List<Planned> schedule, PrintWriter out) {
+    private List<Sample> send(Site site, List<PlannedRequest> schedule, PrintWriter out) {
         LoadRun run = new LoadRun(site, "demo" + seed, 0);
         Thread progress = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
-                Wait.pass(PROGRESS);
+                Wait.sleep(PROGRESS_INTERVAL);
                 out.printf("  %d of %d ended%n", run.ended(), schedule.size());
                 out.flush();
             }
@@ -110,14 +110,14 @@
         return samples;
     }
 
-    private static boolean lost(Report report) {
+    private static boolean hasLostAnswers(Report report) {
         return report.summaries().stream()
                         .mapToInt(row -> row.cutOff() + row.wrong() + row.incomplete())
                         .sum()
                 > 0;
     }
 
-    private static void keepUp(Site site, PrintWriter out) {
+    private static void keepRunning(Site site, PrintWriter out) {
         EntryVm entry = site.entries().get(0);
         Traffic model = kind(site, Route.Kind.MODEL);
         Traffic service = kind(site, Route.Kind.SERVICE);
@@ -134,7 +134,7 @@
         out.printf("  curl %s/status ; curl %s/metrics%n", entry.operatorUrl(), entry.operatorUrl());
         out.printf("  bin/quetzalseam status --platform %s%n", site.platform().url());
         out.flush();
-        Wait.pass(Duration.ofDays(1));
+        Wait.sleep(Duration.ofDays(1));
     }
 
     private static Traffic kind(Site site, Route.Kind kind) {
--- a/cli/src/main/java/org/quetzalseam/cli/fault/Fault.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/Fault.java
@@ -20,44 +20,44 @@
     /** The connections to an endpoint are cut. */
     CUT {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             anyEndpoint(site, random).proxy().cut();
         }
     },
     /** The network to an endpoint holds everything back for a while, as when the process is paused. */
     FREEZE {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             EndpointVm vm = anyEndpoint(site, random);
             vm.proxy().freeze(true);
-            Wait.pass(Duration.ofMillis(random.nextInt(100, 3_000)));
+            Wait.sleep(Duration.ofMillis(random.nextInt(100, 3_000)));
             vm.proxy().freeze(false);
         }
     },
     /** An endpoint can't be reached for a while. */
     PARTITION {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             EndpointVm vm = anyEndpoint(site, random);
             vm.proxy().partition(true);
-            Wait.pass(Duration.ofMillis(random.nextInt(100, 3_000)));
+            Wait.sleep(Duration.ofMillis(random.nextInt(100, 3_000)));
             vm.proxy().partition(false);
         }
     },
     /** An endpoint's process dies and is started again. */
     ENDPOINT_CRASH {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             EndpointVm vm = anyEndpoint(site, random);
             vm.crash();
-            Wait.pass(Duration.ofMillis(random.nextInt(50, 1_500)));
+            Wait.sleep(Duration.ofMillis(random.nextInt(50, 1_500)));
             vm.start();
         }
     },
     /** An endpoint's process is stopped as planned and started again. */
     ENDPOINT_STOP {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             EndpointVm vm = anyEndpoint(site, random);
             vm.stop();
             vm.start();
@@ -66,17 +66,17 @@
     /** An entry's process dies and is started again. */
     ENTRY_CRASH {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             EntryVm vm = site.entries().get(random.nextInt(site.entries().size()));
             vm.crash();
-            Wait.pass(Duration.ofMillis(random.nextInt(50, 1_500)));
+            Wait.sleep(Duration.ofMillis(random.nextInt(50, 1_500)));
             vm.start();
         }
     },
     /** An entry's process is stopped as planned and started again. */
     ENTRY_STOP {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             EntryVm vm = site.entries().get(random.nextInt(site.entries().size()));
             vm.stop();
             vm.start();
@@ -85,25 +85,25 @@
     /** The platform's store is down for a while. */
     STORE_OUTAGE {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             site.platform().down(true);
-            Wait.pass(Duration.ofMillis(random.nextInt(200, 4_000)));
+            Wait.sleep(Duration.ofMillis(random.nextInt(200, 4_000)));
             site.platform().down(false);
         }
     },
     /** The platform's store is slow for a while. */
     STORE_SLOW {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             site.platform().slow(random.nextInt(20, 400));
-            Wait.pass(Duration.ofMillis(random.nextInt(200, 3_000)));
+            Wait.sleep(Duration.ofMillis(random.nextInt(200, 3_000)));
             site.platform().slow(0);
         }
     },
     /** Two operators change the catalogue at once, and the answers to some writes are lost. */
     CATALOGUE_RACE {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             site.platform().loseAnswers(random.nextInt(3));
             CatalogueStore store =
                     new CatalogueStore(new HttpObjectStore(site.platform().url()));
@@ -121,10 +121,10 @@
     /** The platform's store is set back to an older accepted catalogue. */
     STORE_REVERT {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             String old = site.platform().data(CatalogueStore.ACCEPTED);
-            CATALOGUE_RACE.bringAbout(site, random);
-            Wait.pass(Duration.ofMillis(random.nextInt(200, 1_500)));
+            CATALOGUE_RACE.inject(site, random);
+            Wait.sleep(Duration.ofMillis(random.nextInt(200, 1_500)));
             if (old != null) {
                 site.platform().force(CatalogueStore.ACCEPTED, old);
             }
@@ -133,32 +133,32 @@
     /** An engine refuses new work for a while. */
     ENGINE_REFUSES {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             List<EndpointVm> engines = site.endpoints().stream()
                     .filter(vm -> vm.pool().kind() != BackendKind.SERVICE)
                     .toList();
             EndpointVm vm = engines.get(random.nextInt(engines.size()));
             vm.backend().engine().refuse(true);
-            Wait.pass(Duration.ofMillis(random.nextInt(100, 1_000)));
+            Wait.sleep(Duration.ofMillis(random.nextInt(100, 1_000)));
             vm.backend().engine().refuse(false);
         }
     },
     /** A service executes calls and breaks off without an answer for a while. */
     SERVICE_BREAKS_OFF {
         @Override
-        void bringAbout(Site site, SplittableRandom random) {
+        void inject(Site site, SplittableRandom random) {
             List<EndpointVm> services = site.endpoints().stream()
                     .filter(vm -> vm.pool().kind() == BackendKind.SERVICE)
                     .toList();
             EndpointVm vm = services.get(random.nextInt(services.size()));
             vm.backend().service().breakOff(true);
-            Wait.pass(Duration.ofMillis(random.nextInt(50, 400)));
+            Wait.sleep(Duration.ofMillis(random.nextInt(50, 400)));
             vm.backend().service().breakOff(false);
         }
     };
 
     /** Brings the fault about and returns when it is over. */
-    abstract void bringAbout(Site site, SplittableRandom random);
+    abstract void inject(Site site, SplittableRandom random);
 
     private static EndpointVm anyEndpoint(Site site, SplittableRandom random) {
         return site.endpoints().get(random.nextInt(site.endpoints().size()));
--- a/cli/src/main/java/org/quetzalseam/cli/fault/FaultRun.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/FaultRun.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.BooleanSupplier;
 import org.quetzalseam.cli.load.LoadRun;
-import org.quetzalseam.cli.load.Planned;
+import org.quetzalseam.cli.load.PlannedRequest;
 import org.quetzalseam.cli.load.Report;
 import org.quetzalseam.cli.load.Sample;
 import org.quetzalseam.cli.load.Schedule;
@@ -35,8 +35,8 @@
     private static final double SPEED = 8;
     private static final double LOAD = 0.25;
     private static final double HANG_UP_SHARE = 0.1;
-    private static final int TRIES = 6;
-    private static final Duration SETTLING = Duration.ofSeconds(20);
+    private static final int MAX_ATTEMPTS = 6;
+    private static final Duration SETTLE_TIMEOUT = Duration.ofSeconds(20);
     private static final int INJECTORS = 3;
     private static final List<Fault> KINDS = List.of(Fault.values());
 
@@ -58,9 +58,9 @@
     private final Site site;
     private final Map<Fault, Integer> counts = new EnumMap<>(Fault.class);
     private final Map<Fault, ReentrantLock> locks = new EnumMap<>(Fault.class);
-    private final ReentrantLock processes = new ReentrantLock();
+    private final ReentrantLock processLock = new ReentrantLock();
     private final VersionWatch versions;
-    private volatile boolean over;
+    private volatile boolean finished;
 
     /** Creates a run of a deployment. */
     public FaultRun(String deployment, long seed, double seconds) {
@@ -93,16 +93,16 @@
         List<Traffic> traffic = site.deployment().traffic().stream()
                 .map(kind -> kind.faster(SPEED))
                 .toList();
-        List<Planned> schedule = Schedule.draw(traffic, LOAD, seconds, seed);
+        List<PlannedRequest> schedule = Schedule.draw(traffic, LOAD, seconds, seed);
         versions.start();
         ExecutorService injectors = Executors.newFixedThreadPool(INJECTORS);
         SplittableRandom seeds = new SplittableRandom(seed);
         for (int i = 0; i < INJECTORS; i++) {
             SplittableRandom random = seeds.split();
-            injectors.execute(() -> inject(random));
+            injectors.execute(() -> injectFaults(random));
         }
-        List<Sample> samples = new LoadRun(site, "fault" + seed, HANG_UP_SHARE, TRIES).run(schedule, seed);
-        over = true;
+        List<Sample> samples = new LoadRun(site, "fault" + seed, HANG_UP_SHARE, MAX_ATTEMPTS).run(schedule, seed);
+        finished = true;
         injectors.shutdown();
         awaitEnd(injectors);
         List<String> violations = new ArrayList<>();
@@ -118,7 +118,7 @@
 
     private static void awaitEnd(ExecutorService injectors) {
         try {
-            if (!injectors.awaitTermination(SETTLING.toSeconds(), TimeUnit.SECONDS)) {
+            if (!injectors.awaitTermination(SETTLE_TIMEOUT.toSeconds(), TimeUnit.SECONDS)) {
                 logger.atWarning().log("event=fault-still-running");
             }
         } catch (InterruptedException e) {
@@ -126,12 +126,12 @@
         }
     }
 
-    private void inject(SplittableRandom random) {
+    private void injectFaults(SplittableRandom random) {
         long start = System.nanoTime();
-        while (!over && System.nanoTime() - start < seconds * 1e9) {
-            Wait.pass(Duration.ofMillis(random.nextInt(50, 500)));
+        while (!finished && System.nanoTime() - start < seconds * 1e9) {
+            Wait.sleep(Duration.ofMillis(random.nextInt(50, 500)));
             Fault fault = KINDS.get(random.nextInt(KINDS.size()));
-            ReentrantLock lock = isAboutProcesses(fault) ? processes : locks.get(fault);
+            ReentrantLock lock = stopsProcess(fault) ? processLock : locks.get(fault);
             if (lock == null || !lock.tryLock()) {
                 continue;
             }
@@ -139,7 +139,7 @@
                 synchronized (counts) {
                     counts.merge(fault, 1, Integer::sum);
                 }
-                fault.bringAbout(site, random);
+                fault.inject(site, random);
             } catch (RuntimeException e) {
                 logger.atSevere().withCause(e).log("event=fault-failed fault=%s", fault);
             } finally {
@@ -149,7 +149,7 @@
     }
 
     /** One process at a time is stopped or killed by these; all other faults come on top of it. */
-    private static boolean isAboutProcesses(Fault fault) {
+    private static boolean stopsProcess(Fault fault) {
         return switch (fault) {
             case ENDPOINT_CRASH, ENDPOINT_STOP, ENTRY_CRASH, ENTRY_STOP -> true;
             default -> false;
@@ -184,7 +184,7 @@
 
     private static void check(List<String> violations, String violation, BooleanSupplier holds) {
         try {
-            Wait.until(SETTLING, violation, holds);
+            Wait.until(SETTLE_TIMEOUT, violation, holds);
         } catch (IllegalStateException e) {
             violations.add(violation);
         }
--- a/cli/src/main/java/org/quetzalseam/cli/fault/KillOne.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/KillOne.java
@@ -13,7 +13,7 @@
     /** Kills the first decode endpoint of a site after some seconds, on a thread of its own. */
     public static void after(Site site, double seconds) {
         Thread thread = new Thread(() -> {
-            Wait.pass(Duration.ofMillis((long) (seconds * 1000)));
+            Wait.sleep(Duration.ofMillis((long) (seconds * 1000)));
             site.endpoints().stream()
                     .filter(vm -> vm.pool().kind() == BackendKind.DECODE)
                     .findFirst()
--- a/cli/src/main/java/org/quetzalseam/cli/fault/VersionWatch.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/VersionWatch.java
@@ -32,12 +32,12 @@
 
     private void watch() {
         while (!Thread.currentThread().isInterrupted()) {
-            site.entries().forEach(this::look);
-            Wait.pass(INTERVAL);
+            site.entries().forEach(this::checkVersion);
+            Wait.sleep(INTERVAL);
         }
     }
 
-    private synchronized void look(EntryVm vm) {
+    private synchronized void checkVersion(EntryVm vm) {
         EntryDaemon daemon;
         try {
             daemon = vm.daemon();
--- a/cli/src/main/java/org/quetzalseam/cli/load/Caller.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Caller.java
@@ -35,17 +35,17 @@
             .build();
 
     /** What one try brought. Mutable; used by one thread. */
-    private static final class Try {
+    private static final class Attempt {
         final long intended;
         long first;
         long last;
         int outputs;
-        Told told = Told.CUT_OFF;
+        CallerOutcome outcome = CallerOutcome.CUT_OFF;
         String code = "";
         int status;
         boolean retryAfter;
 
-        Try(long intended) {
+        Attempt(long intended) {
             this.intended = intended;
         }
 
@@ -57,14 +57,14 @@
             outputs++;
         }
 
-        Sample sample(Planned planned, String businessId) {
+        Sample sample(PlannedRequest planned, String businessId) {
             double firstMillis = outputs == 0 ? -1 : (first - intended) / NANOS_PER_MILLI;
             double steady = outputs < 2 ? 0 : (last - first) / NANOS_PER_MILLI / (outputs - 1);
             return new Sample(
                     planned.traffic(),
                     planned.owner(),
                     businessId,
-                    told,
+                    outcome,
                     code,
                     status,
                     retryAfter,
@@ -83,13 +83,14 @@
      * @param runId makes ids of this run differ from those of others
      * @param hangUpAfter outputs after which the caller hangs up, or -1
      */
-    public Sample send(Planned planned, String entryUrl, long intended, String runId, int hangUpAfter) {
+    public Sample send(PlannedRequest planned, String entryUrl, long intended, String runId, int hangUpAfter) {
         return send(planned, entryUrl, intended, runId, hangUpAfter, Uuid7.next(runId + planned.number()));
     }
 
     /** Sends a request with a given idempotency key, which counts only for requests that are to have one. */
-    public Sample send(Planned planned, String entryUrl, long intended, String runId, int hangUpAfter, String key) {
-        Try current = new Try(intended);
+    public Sample send(
+            PlannedRequest planned, String entryUrl, long intended, String runId, int hangUpAfter, String key) {
+        Attempt current = new Attempt(intended);
         String businessId = runId + "-" + planned.number();
         boolean model = planned.traffic().route().kind() == Route.Kind.MODEL;
         try {
@@ -106,7 +107,7 @@
         return current.sample(planned, businessId);
     }
 
-    private static HttpRequest.Builder request(Planned planned, String url) {
+    private static HttpRequest.Builder request(PlannedRequest planned, String url) {
         return HttpRequest.newBuilder(URI.create(url))
                 .timeout(TIMEOUT)
                 .header("Authorization", "Bearer " + Deployment.token(planned.owner()));
@@ -118,7 +119,7 @@
         return words.repeat(length / words.length() + 1).substring(0, Math.max(length, words.length()));
     }
 
-    private void complete(Planned planned, String entryUrl, String businessId, Try current, int hangUpAfter)
+    private void complete(PlannedRequest planned, String entryUrl, String businessId, Attempt current, int hangUpAfter)
             throws IOException, InterruptedException {
         String prompt = prompt(businessId, planned.promptTokens());
         ObjectNode body = Json.object()
@@ -141,16 +142,16 @@
         }
     }
 
-    private static void stream(BufferedReader lines, String hash, int expected, Try current, int hangUpAfter)
+    private static void stream(BufferedReader lines, String hash, int expected, Attempt current, int hangUpAfter)
             throws IOException {
         String line = lines.readLine();
         while (line != null) {
             if (hangUpAfter >= 0 && current.outputs >= hangUpAfter) {
-                current.told = Told.HUNG_UP;
+                current.outcome = CallerOutcome.HUNG_UP;
                 return;
             }
             if (line.equals(DATA + "[DONE]")) {
-                current.told = current.outputs == expected ? Told.ANSWERED : Told.WRONG;
+                current.outcome = current.outputs == expected ? CallerOutcome.ANSWERED : CallerOutcome.WRONG;
                 return;
             }
             if (line.startsWith(DATA) && !event(line.substring(DATA.length()), hash, current)) {
@@ -160,7 +161,7 @@
         }
     }
 
-    private static boolean event(String data, String hash, Try current) throws IOException {
+    private static boolean event(String data, String hash, Attempt current) throws IOException {
         JsonNode node = Json.read(data.getBytes(StandardCharsets.UTF_8));
         if (node.has("error")) {
             error(node, current);
@@ -171,29 +172,29 @@
             return true;
         }
         if (!text.equals(hash + ":" + current.outputs)) {
-            current.told = Told.WRONG;
+            current.outcome = CallerOutcome.WRONG;
             return false;
         }
         current.output();
         return true;
     }
 
-    private static void refused(HttpResponse<?> response, byte[] body, Try current) throws IOException {
+    private static void refused(HttpResponse<?> response, byte[] body, Attempt current) throws IOException {
         current.retryAfter = response.headers().firstValue("Retry-After").isPresent();
         error(Json.read(body), current);
     }
 
-    private static void error(JsonNode node, Try current) {
+    private static void error(JsonNode node, Attempt current) {
         JsonNode error = node.path("error");
         current.code = error.path("code").asText();
-        current.told = switch (error.path("outcome").asText()) {
-            case "not-run" -> Told.NOT_RUN;
-            case "incomplete" -> Told.INCOMPLETE;
-            default -> Told.UNKNOWN;
+        current.outcome = switch (error.path("outcome").asText()) {
+            case "not-run" -> CallerOutcome.NOT_RUN;
+            case "incomplete" -> CallerOutcome.INCOMPLETE;
+            default -> CallerOutcome.UNKNOWN;
         };
     }
 
-    private void call(Planned planned, String entryUrl, String businessId, String key, Try current)
+    private void call(PlannedRequest planned, String entryUrl, String businessId, String key, Attempt current)
             throws IOException, InterruptedException {
         String path = "/services/" + planned.traffic().route().name() + "/lots/" + planned.number();
         HttpRequest.Builder builder = request(planned, entryUrl + path)
@@ -209,7 +210,7 @@
             return;
         }
         boolean own = Json.read(response.body()).path("id").asText().equals(businessId);
-        current.told = own ? Told.ANSWERED : Told.WRONG;
+        current.outcome = own ? CallerOutcome.ANSWERED : CallerOutcome.WRONG;
         current.output();
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/load/Told.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/CallerOutcome.java
@@ -1,7 +1,7 @@
 package org.quetzalseam.cli.load;
 
 /** What a caller was told of its request, or saw of the answer. */
-public enum Told {
+public enum CallerOutcome {
     /** The whole answer to its own request. */
     ANSWERED,
     /** The request was not run. */
--- a/cli/src/main/java/org/quetzalseam/cli/load/LoadRun.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/LoadRun.java
@@ -14,14 +14,14 @@
 
 /** Sends a schedule of requests to a site and collects what became of them. Used by one thread. */
 public final class LoadRun {
-    private static final long LAST_ANSWERS_SECONDS = 150;
+    private static final long FINAL_ANSWERS_TIMEOUT_SECONDS = 150;
     private static final Duration RETRY_PAUSE = Duration.ofMillis(300);
 
     private final Site site;
     private final Caller caller = new Caller();
     private final String runId;
     private final double hangUpShare;
-    private final int tries;
+    private final int maxAttempts;
     private final Collection<Sample> samples = new ConcurrentLinkedQueue<>();
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "load");
@@ -42,17 +42,17 @@
 
     /** Creates a run whose callers send a keyed request up to {@code tries} times with the same key. */
     public LoadRun(Site site, String runId, double hangUpShare, int tries) {
-        this.tries = tries;
+        this.maxAttempts = tries;
         this.site = site;
         this.runId = runId;
         this.hangUpShare = hangUpShare;
     }
 
     /** Sends all requests at their times and returns when the last of them has ended. */
-    public List<Sample> run(List<Planned> schedule, long seed) {
+    public List<Sample> run(List<PlannedRequest> schedule, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         long start = System.nanoTime();
-        for (Planned planned : schedule) {
+        for (PlannedRequest planned : schedule) {
             long at = start + planned.atNanos();
             long left = at - System.nanoTime();
             while (left > 0) {
@@ -71,18 +71,20 @@
         return samples.size();
     }
 
-    private void send(Planned planned, long at, int hangUp) {
+    private void send(PlannedRequest planned, long at, int hangUp) {
         String key = Uuid7.next(runId + planned.number());
         Sample sample = sendOnce(planned, at, hangUp, key, 0);
         // A caller with a key comes back with the same key, at another entry, until it knows.
-        for (int again = 1; again < tries && planned.traffic().keyed() && sample.told() != Told.ANSWERED; again++) {
-            Wait.pass(RETRY_PAUSE);
+        for (int again = 1;
+                again < maxAttempts && planned.traffic().keyed() && sample.outcome() != CallerOutcome.ANSWERED;
+                again++) {
+            Wait.sleep(RETRY_PAUSE);
             sample = sendOnce(planned, at, hangUp, key, again);
         }
         samples.add(sample);
     }
 
-    private Sample sendOnce(Planned planned, long at, int hangUp, String key, int again) {
+    private Sample sendOnce(PlannedRequest planned, long at, int hangUp, String key, int again) {
         String url = site.entry(planned.number() + again).url();
         return caller.send(planned, url, at, runId, hangUp, key);
     }
@@ -90,7 +92,7 @@
     private void finish() {
         threads.shutdown();
         try {
-            if (!threads.awaitTermination(LAST_ANSWERS_SECONDS, TimeUnit.SECONDS)) {
+            if (!threads.awaitTermination(FINAL_ANSWERS_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 threads.shutdownNow();
             }
         } catch (InterruptedException e) {
--- a/cli/src/main/java/org/quetzalseam/cli/load/Planned.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/PlannedRequest.java
@@ -12,4 +12,5 @@
  * @param promptTokens length of its prompt
  * @param outputTokens length of its answer
  */
-public record Planned(long number, long atNanos, Traffic traffic, String owner, int promptTokens, int outputTokens) {}
+public record PlannedRequest(
+        long number, long atNanos, Traffic traffic, String owner, int promptTokens, int outputTokens) {}
--- a/cli/src/main/java/org/quetzalseam/cli/load/Report.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Report.java
@@ -60,7 +60,7 @@
     private static List<String> violations(Map<String, Integer> executions, Catalogue catalogue, List<Sample> samples) {
         List<String> violations = new ArrayList<>();
         for (Sample sample : samples) {
-            if (sample.told() == Told.WRONG) {
+            if (sample.outcome() == CallerOutcome.WRONG) {
                 violations.add(sample.businessId() + ": the answer was not whole, or another request's");
             }
             boolean counted = sample.traffic().route().kind() == Route.Kind.SERVICE;
@@ -76,10 +76,10 @@
     }
 
     private static void check(Sample sample, int runs, boolean idempotent, List<String> violations) {
-        if (sample.told() == Told.NOT_RUN && runs > 0) {
+        if (sample.outcome() == CallerOutcome.NOT_RUN && runs > 0) {
             violations.add(sample.businessId() + ": told not run, but ran " + runs + " times");
         }
-        if (sample.told() == Told.ANSWERED && runs == 0) {
+        if (sample.outcome() == CallerOutcome.ANSWERED && runs == 0) {
             violations.add(sample.businessId() + ": answered, but never ran");
         }
         if (!idempotent && runs > 1) {
--- a/cli/src/main/java/org/quetzalseam/cli/load/Sample.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Sample.java
@@ -8,7 +8,7 @@
  * @param traffic its kind
  * @param owner its owner
  * @param businessId id under which services count executions
- * @param told what the caller was told
+ * @param outcome what the caller was told
  * @param code machine-readable reason, empty when answered
  * @param status HTTP status, 0 when there was none
  * @param retryAfter whether a refusal said when to come back
@@ -20,7 +20,7 @@
         Traffic traffic,
         String owner,
         String businessId,
-        Told told,
+        CallerOutcome outcome,
         String code,
         int status,
         boolean retryAfter,
--- a/cli/src/main/java/org/quetzalseam/cli/load/Schedule.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Schedule.java
@@ -11,7 +11,7 @@
  * same arrivals. Stateless.
  */
 public final class Schedule {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private Schedule() {}
 
@@ -23,16 +23,16 @@
      * @param seconds length of the run
      * @param seed seed of all that is drawn
      */
-    public static List<Planned> draw(List<Traffic> traffic, double load, double seconds, long seed) {
+    public static List<PlannedRequest> draw(List<Traffic> traffic, double load, double seconds, long seed) {
         SplittableRandom seeds = new SplittableRandom(seed);
-        List<Planned> arrivals = new ArrayList<>();
+        List<PlannedRequest> arrivals = new ArrayList<>();
         for (Traffic kind : traffic) {
             drawKind(kind, load, seconds, seeds.split(), arrivals);
         }
-        arrivals.sort(Comparator.comparingLong(Planned::atNanos));
-        List<Planned> numbered = new ArrayList<>();
-        for (Planned arrival : arrivals) {
-            numbered.add(new Planned(
+        arrivals.sort(Comparator.comparingLong(PlannedRequest::atNanos));
+        List<PlannedRequest> numbered = new ArrayList<>();
+        for (PlannedRequest arrival : arrivals) {
+            numbered.add(new PlannedRequest(
                     numbered.size(),
                     arrival.atNanos(),
                     arrival.traffic(),
@@ -44,16 +44,16 @@
     }
 
     private static void drawKind(
-            Traffic kind, double load, double seconds, SplittableRandom random, List<Planned> arrivals) {
+            Traffic kind, double load, double seconds, SplittableRandom random, List<PlannedRequest> arrivals) {
         double at = 0;
         while (true) {
             at += -Math.log(1 - random.nextDouble()) / (kind.ratePerSecond() * load);
             if (at >= seconds) {
                 return;
             }
-            arrivals.add(new Planned(
+            arrivals.add(new PlannedRequest(
                     0,
-                    (long) (at * NANOS),
+                    (long) (at * NANOS_PER_SECOND),
                     kind,
                     owner(kind, random),
                     kind.promptTokens().draw(random),
--- a/cli/src/main/java/org/quetzalseam/cli/load/Summary.java
+++ b/cli/src/main/java/org/quetzalseam/cli/load/Summary.java
@@ -49,7 +49,7 @@
         Histogram steady = new Histogram(3);
         int good = 0;
         for (Sample sample : samples) {
-            if (sample.told() != Told.ANSWERED) {
+            if (sample.outcome() != CallerOutcome.ANSWERED) {
                 continue;
             }
             first.recordValue((long) (sample.firstMillis() * MICROS_PER_MILLI));
@@ -59,20 +59,20 @@
         return new Summary(
                 name,
                 samples.size(),
-                count(samples, Told.ANSWERED),
+                count(samples, CallerOutcome.ANSWERED),
                 good,
-                count(samples, Told.NOT_RUN),
-                count(samples, Told.INCOMPLETE),
-                count(samples, Told.UNKNOWN),
-                count(samples, Told.CUT_OFF),
-                count(samples, Told.WRONG),
+                count(samples, CallerOutcome.NOT_RUN),
+                count(samples, CallerOutcome.INCOMPLETE),
+                count(samples, CallerOutcome.UNKNOWN),
+                count(samples, CallerOutcome.CUT_OFF),
+                count(samples, CallerOutcome.WRONG),
                 quantiles(first),
                 quantiles(steady));
     }
 
     /** Returns whether a request was answered within both targets. */
     public static boolean isGood(Sample sample, Targets targets) {
-        return sample.told() == Told.ANSWERED
+        return sample.outcome() == CallerOutcome.ANSWERED
                 && sample.firstMillis() <= targets.firstOutputMillis()
                 && sample.steadyMillis() <= targets.steadyOutputMillis();
     }
@@ -83,7 +83,7 @@
                 micros.getValueAtPercentile(TAIL) / MICROS_PER_MILLI);
     }
 
-    private static int count(List<Sample> samples, Told told) {
-        return (int) samples.stream().filter(sample -> sample.told() == told).count();
+    private static int count(List<Sample> samples, CallerOutcome told) {
+        return (int) samples.stream().filter(sample -> sample.outcome() == told).count();
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/measure/Capacity.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Capacity.java
@@ -11,7 +11,7 @@
 import java.util.Locale;
 import java.util.Map;
 import org.quetzalseam.cli.load.LoadRun;
-import org.quetzalseam.cli.load.Planned;
+import org.quetzalseam.cli.load.PlannedRequest;
 import org.quetzalseam.cli.load.Schedule;
 import org.quetzalseam.cli.site.Deployment;
 import org.quetzalseam.cli.site.Range;
@@ -160,10 +160,10 @@
             long heap = usedHeap();
             int threads = THREADS.getThreadCount();
             site.start();
-            Wait.pass(Duration.ofSeconds(3));
+            Wait.sleep(Duration.ofSeconds(3));
             long cpu = PROCESS.getProcessCpuTime();
             long start = System.nanoTime();
-            Wait.pass(Duration.ofSeconds(8));
+            Wait.sleep(Duration.ofSeconds(8));
             double share = 100.0 * (PROCESS.getProcessCpuTime() - cpu) / (System.nanoTime() - start);
             out.printf(
                     Locale.ROOT,
@@ -211,9 +211,9 @@
         Site site = new Site(full, SiteOptions.defaults().withSpeed(8));
         site.start();
         try {
-            List<Planned> warm = Schedule.draw(List.of(traffic), 1, 4, 1);
+            List<PlannedRequest> warm = Schedule.draw(List.of(traffic), 1, 4, 1);
             new LoadRun(site, "warm", 0).run(warm, 1);
-            List<Planned> schedule = Schedule.draw(List.of(traffic), 1, 6, 2);
+            List<PlannedRequest> schedule = Schedule.draw(List.of(traffic), 1, 6, 2);
             long cpu = PROCESS.getProcessCpuTime();
             new LoadRun(site, "cost", 0).run(schedule, 2);
             double millis = (PROCESS.getProcessCpuTime() - cpu) / NANOS_PER_MILLI / schedule.size();
--- a/cli/src/main/java/org/quetzalseam/cli/measure/Comparison.java
+++ b/cli/src/main/java/org/quetzalseam/cli/measure/Comparison.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.quetzalseam.cli.fault.KillOne;
 import org.quetzalseam.cli.load.LoadRun;
-import org.quetzalseam.cli.load.Planned;
+import org.quetzalseam.cli.load.PlannedRequest;
 import org.quetzalseam.cli.load.Report;
 import org.quetzalseam.cli.load.Sample;
 import org.quetzalseam.cli.load.Schedule;
@@ -65,7 +65,7 @@
         try {
             List<Traffic> traffic =
                     chosen.traffic().stream().map(kind -> kind.faster(speed)).toList();
-            List<Planned> schedule = Schedule.draw(traffic, load, seconds, seed);
+            List<PlannedRequest> schedule = Schedule.draw(traffic, load, seconds, seed);
             if (kill) {
                 KillOne.after(site, seconds / 2);
             }
--- a/cli/src/main/java/org/quetzalseam/cli/operate/ApplyCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/ApplyCommand.java
@@ -22,7 +22,7 @@
         },
         mixinStandardHelpOptions = true)
 public final class ApplyCommand extends CatalogueCommand {
-    private static final Duration POLL = Duration.ofMillis(200);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
 
     @Option(
             names = "--wait",
@@ -66,7 +66,7 @@
                 err().println("refused; the accepted catalogue stays in force");
                 return ExitCodes.REFUSED;
             }
-            Wait.pass(POLL);
+            Wait.sleep(POLL_INTERVAL);
         }
         err().println("no entry has reviewed the proposal yet; see 'quetzalseam status'");
         return ExitCodes.UNAVAILABLE;
@@ -75,7 +75,7 @@
     private int awaitInForce(ObjectStore store, long version, long end) {
         Processes processes = new Processes();
         while (true) {
-            List<Processes.Seen> entries = processes.entries(store);
+            List<Processes.ProcessStatus> entries = processes.entries(store);
             long running = entries.stream()
                     .filter(seen -> seen.catalogue().orElse(-1L) >= version)
                     .count();
@@ -84,7 +84,7 @@
                 out().printf("in force at %d of %d entries%n", running, entries.size());
                 return everywhere ? ExitCodes.OK : ExitCodes.UNAVAILABLE;
             }
-            Wait.pass(POLL);
+            Wait.sleep(POLL_INTERVAL);
         }
     }
 }
--- a/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
@@ -59,7 +59,7 @@
         Processes processes = new Processes();
         String path = "/explain?request=" + URLEncoder.encode(request, StandardCharsets.UTF_8);
         for (Vm vm : store.members(0, Duration.ZERO).vms()) {
-            Optional<JsonNode> notes = vm.role() == Role.ENTRY ? processes.get(vm, path) : Optional.empty();
+            Optional<JsonNode> notes = vm.role() == Role.ENTRY ? processes.fetch(vm, path) : Optional.empty();
             if (notes.isPresent()) {
                 out().println("at " + vm.name() + ":");
                 notes.get().forEach(note -> out().println("  " + note.asText()));
--- a/cli/src/main/java/org/quetzalseam/cli/operate/Processes.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/Processes.java
@@ -26,7 +26,7 @@
      * @param vm the VM it runs on
      * @param status what it said of itself, or nothing when it gave no answer
      */
-    record Seen(Vm vm, Optional<JsonNode> status) {
+    record ProcessStatus(Vm vm, Optional<JsonNode> status) {
         /** Returns the version of the catalogue that the process runs or passes on, if it answered. */
         Optional<Long> catalogue() {
             return status.map(node -> node.path("catalogue").asLong());
@@ -37,25 +37,25 @@
             HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
 
     /** Returns all processes on the list; those that can't be asked are there without an answer. */
-    List<Seen> all(ObjectStore store) {
+    List<ProcessStatus> all(ObjectStore store) {
         return store.members(0, Duration.ZERO).vms().parallelStream()
-                .map(this::ask)
+                .map(this::fetchStatus)
                 .toList();
     }
 
     /** Returns the entries among the processes on the list. */
-    List<Seen> entries(ObjectStore store) {
+    List<ProcessStatus> entries(ObjectStore store) {
         return all(store).stream()
                 .filter(seen -> seen.vm().role() == Role.ENTRY)
                 .toList();
     }
 
-    private Seen ask(Vm vm) {
-        return new Seen(vm, get(vm, "/status"));
+    private ProcessStatus fetchStatus(Vm vm) {
+        return new ProcessStatus(vm, fetch(vm, "/status"));
     }
 
     /** Returns what a process answers to a path, or nothing when it doesn't. */
-    Optional<JsonNode> get(Vm vm, String path) {
+    Optional<JsonNode> fetch(Vm vm, String path) {
         URI uri = URI.create("http://" + vm.host() + ":" + vm.operatorPort() + path);
         try {
             HttpResponse<byte[]> response =
--- a/cli/src/main/java/org/quetzalseam/cli/operate/StatusCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/StatusCommand.java
@@ -33,9 +33,9 @@
                 verdict.problems().forEach(problem -> out().println("  " + problem));
             }
         }
-        List<Processes.Seen> processes = new Processes().all(store);
+        List<Processes.ProcessStatus> processes = new Processes().all(store);
         processes.forEach(this::show);
-        List<Processes.Seen> entries = processes.stream()
+        List<Processes.ProcessStatus> entries = processes.stream()
                 .filter(seen -> seen.vm().role() == Role.ENTRY)
                 .toList();
         long running = entries.stream()
@@ -48,7 +48,7 @@
         return ExitCodes.OK;
     }
 
-    private void show(Processes.Seen seen) {
+    private void show(Processes.ProcessStatus seen) {
         String said = seen.status()
                 .map(status -> seen.vm().role() == Role.ENTRY
                         ? "runs version " + status.path("catalogue").asLong()
--- a/cli/src/main/java/org/quetzalseam/cli/site/BackendVm.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/BackendVm.java
@@ -8,7 +8,7 @@
 
 /** The engine or service of one endpoint VM. Thread-safe. */
 public final class BackendVm {
-    private static final long SERVICE_MILLIS = 3;
+    private static final long SERVICE_TIME_MILLIS = 3;
 
     private final BackendKind kind;
     private final Optional<EngineStandIn> engine;
@@ -18,7 +18,8 @@
         this.kind = kind;
         boolean isService = kind == BackendKind.SERVICE;
         this.engine = isService ? Optional.empty() : Optional.of(new EngineStandIn(costs, site.registry()));
-        this.service = isService ? Optional.of(new ServiceStandIn(site.ledger(), SERVICE_MILLIS)) : Optional.empty();
+        this.service =
+                isService ? Optional.of(new ServiceStandIn(site.ledger(), SERVICE_TIME_MILLIS)) : Optional.empty();
     }
 
     BackendKind kind() {
--- a/cli/src/main/java/org/quetzalseam/cli/site/Wait.java
+++ b/cli/src/main/java/org/quetzalseam/cli/site/Wait.java
@@ -22,7 +22,7 @@
     }
 
     /** Lets time pass. */
-    public static void pass(Duration time) {
+    public static void sleep(Duration time) {
         long end = System.nanoTime() + time.toNanos();
         long left = time.toNanos();
         while (left > 0 && !Thread.currentThread().isInterrupted()) {
--- a/cli/src/test/java/org/quetzalseam/cli/AnsweredOnceTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/AnsweredOnceTest.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import org.quetzalseam.cli.load.CallerOutcome;
 import org.quetzalseam.cli.load.Sample;
-import org.quetzalseam.cli.load.Told;
 import org.quetzalseam.cli.site.EndpointVm;
 import org.quetzalseam.cli.site.Wait;
 
@@ -28,9 +28,9 @@
         EndpointVm decoder = site.busyDecoder();
         for (int i = 0; i < 5; i++) {
             decoder.proxy().cut();
-            Wait.pass(Duration.ofMillis(150));
+            Wait.sleep(Duration.ofMillis(150));
         }
-        assertThat(sample.join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(sample.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         site.awaitAllFree();
     }
 
@@ -40,9 +40,9 @@
         site.awaitHeld(1);
         EndpointVm decoder = site.busyDecoder();
         decoder.proxy().freeze(true);
-        Wait.pass(Duration.ofMillis(500));
+        Wait.sleep(Duration.ofMillis(500));
         decoder.proxy().freeze(false);
-        assertThat(sample.join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(sample.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
     }
 
     @Test
@@ -53,11 +53,12 @@
         }
         for (int i = 0; i < 10; i++) {
             site.site().endpoints().get(i % 3).proxy().cut();
-            Wait.pass(Duration.ofMillis(100));
+            Wait.sleep(Duration.ofMillis(100));
         }
         assertThat(samples)
-                .allSatisfy(sample ->
-                        assertThat(sample.join().told()).as("%s", sample.join()).isEqualTo(Told.ANSWERED));
+                .allSatisfy(sample -> assertThat(sample.join().outcome())
+                        .as("%s", sample.join())
+                        .isEqualTo(CallerOutcome.ANSWERED));
         site.awaitAllFree();
     }
 
@@ -66,9 +67,9 @@
         CompletableFuture<Sample> sample = site.digest(site.entry(0), 1200, 2000, -1);
         site.awaitHeld(1);
         EndpointVm decoder = site.busyDecoder();
-        Wait.pass(Duration.ofMillis(300));
+        Wait.sleep(Duration.ofMillis(300));
         decoder.crash();
-        assertThat(sample.join().told()).isEqualTo(Told.INCOMPLETE);
+        assertThat(sample.join().outcome()).isEqualTo(CallerOutcome.INCOMPLETE);
     }
 
     @Test
@@ -83,14 +84,14 @@
                 .findFirst()
                 .orElseThrow()
                 .crash();
-        assertThat(sample.join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(sample.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
     }
 
     @Test
     void aPrefillWhoseEngineRefusesIsPlacedAgainOrRefusedButNeverLeftHanging() {
         site.prefiller().backend().engine().refuse(true);
         Sample sample = site.digest(site.entry(0), 1200, 5, -1).join();
-        assertThat(sample.told()).isIn(Told.NOT_RUN, Told.INCOMPLETE);
+        assertThat(sample.outcome()).isIn(CallerOutcome.NOT_RUN, CallerOutcome.INCOMPLETE);
         site.awaitAllFree();
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/AtMostOnceTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/AtMostOnceTest.java
@@ -143,13 +143,13 @@
         EndpointVm holder = holderOf("k");
         holder.proxy().freeze(true);
         CompletableFuture<HttpResponse<String>> delayed = site.deposit(site.entry(0), "moved", "moved");
-        Wait.pass(Duration.ofMillis(300));
+        Wait.sleep(Duration.ofMillis(300));
         holder.unlist();
         HttpResponse<String> other =
                 site.deposit(site.entry(1), "moved", "moved").join();
         holder.proxy().freeze(false);
         HttpResponse<String> first = delayed.join();
-        Wait.pass(Duration.ofMillis(300));
+        Wait.sleep(Duration.ofMillis(300));
         assertThat(site.executions("moved"))
                 .as("%s %s", other.body(), first.body())
                 .isLessThanOrEqualTo(1);
@@ -173,7 +173,7 @@
             responses.add(site.deposit(site.entry(i % 2), i % 3 == 0 ? "" : "cut-" + i, "cut-" + i));
             if (i % 10 == 0) {
                 site.services().get(i / 10 % 3).proxy().cut();
-                Wait.pass(Duration.ofMillis(30));
+                Wait.sleep(Duration.ofMillis(30));
             }
         }
         for (int i = 0; i < responses.size(); i++) {
--- a/cli/src/test/java/org/quetzalseam/cli/BadInputTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/BadInputTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestInstance;
-import org.quetzalseam.cli.load.Told;
+import org.quetzalseam.cli.load.CallerOutcome;
 import org.quetzalseam.cli.site.EndpointVm;
 
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
@@ -37,7 +37,7 @@
 
     @AfterAll
     void theSiteStillWorksAndStops() {
-        assertThat(site.note(site.entry(0)).join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(site.note(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         site.close();
     }
 
@@ -134,7 +134,7 @@
                 }
             }
             assertThat(halfOpen.isConnected()).isTrue();
-            assertThat(site.note(site.entry(0)).join().told()).isEqualTo(Told.ANSWERED);
+            assertThat(site.note(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         }
     }
 
--- a/cli/src/test/java/org/quetzalseam/cli/CallerGoneTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CallerGoneTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import org.quetzalseam.cli.load.CallerOutcome;
 import org.quetzalseam.cli.load.Sample;
-import org.quetzalseam.cli.load.Told;
 import org.quetzalseam.cli.site.Wait;
 
 class CallerGoneTest {
@@ -47,7 +47,7 @@
     @Test
     void memoryIsFreedWhenACallerHangsUpWhileItsAnswerStreams() {
         Sample sample = site.digest(site.entry(0), 1200, 2000, 3).join();
-        assertThat(sample.told()).isEqualTo(Told.HUNG_UP);
+        assertThat(sample.outcome()).isEqualTo(CallerOutcome.HUNG_UP);
         site.awaitAllFree();
     }
 
@@ -81,7 +81,7 @@
         site.awaitHeld(1);
         site.entry(0).crash();
         site.awaitAllFree();
-        assertThat(sample.join().told()).isNotEqualTo(Told.ANSWERED);
+        assertThat(sample.join().outcome()).isNotEqualTo(CallerOutcome.ANSWERED);
     }
 
     @Test
@@ -91,9 +91,9 @@
             samples.add(site.digest(site.entry(i % 2), 1100 + 50 * i, 50, i % 7 == 6 ? -1 : i % 7));
         }
         assertThat(samples)
-                .allSatisfy(sample -> assertThat(sample.join().told())
+                .allSatisfy(sample -> assertThat(sample.join().outcome())
                         .as("%s", sample.join())
-                        .isIn(Told.HUNG_UP, Told.ANSWERED, Told.NOT_RUN));
+                        .isIn(CallerOutcome.HUNG_UP, CallerOutcome.ANSWERED, CallerOutcome.NOT_RUN));
         site.awaitAllFree();
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/CatalogueFailureTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CatalogueFailureTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.quetzalseam.cli.load.Told;
+import org.quetzalseam.cli.load.CallerOutcome;
 import org.quetzalseam.cli.site.EntryVm;
 import org.quetzalseam.cli.site.Wait;
 import org.quetzalseam.core.catalogue.Manifest;
@@ -114,8 +114,8 @@
     void aChangeProposedJustBeforeAnOutageComesIntoForceAfterIt() {
         long version = store.propose(changed("outage"), base(), "me").version();
         platform.down(true);
-        Wait.pass(Duration.ofMillis(700));
-        assertThat(site.note(site.entry(0)).join().told()).isEqualTo(Told.ANSWERED);
+        Wait.sleep(Duration.ofMillis(700));
+        assertThat(site.note(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         platform.down(false);
         awaitInForce(version);
     }
@@ -138,7 +138,7 @@
                 "the version is in force",
                 () -> site.entry(0).daemon().catalogueVersion() == version);
         Wait.until(TestSite.LIMIT, "links", () -> site.entry(0).daemon().connectedEndpoints() == 6);
-        assertThat(site.note(site.entry(0)).join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(site.note(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         platform.down(false);
     }
 
--- a/cli/src/test/java/org/quetzalseam/cli/CatalogueInDoubtTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CatalogueInDoubtTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.quetzalseam.cli.load.Told;
+import org.quetzalseam.cli.load.CallerOutcome;
 import org.quetzalseam.cli.site.Wait;
 
 class CatalogueInDoubtTest {
@@ -58,9 +58,9 @@
         assertInDoubt(post(TOKEN, "/services/none/x", ""));
         assertInDoubt(post(TOKEN, "/v1/completions", PROMPT));
         assertInDoubt(post("nobody", "/v1/completions", PROMPT));
-        assertThat(site.note(site.entry(0)).join().told())
+        assertThat(site.note(site.entry(0)).join().outcome())
                 .as("what it knows is served")
-                .isEqualTo(Told.ANSWERED);
+                .isEqualTo(CallerOutcome.ANSWERED);
         site.site().platform().down(false);
         Wait.until(
                 TestSite.LIMIT,
--- a/cli/src/test/java/org/quetzalseam/cli/KeyInquiryTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/KeyInquiryTest.java
@@ -122,7 +122,7 @@
         LinkProxy path = site.services().get(0).proxy();
         path.delay(PATH_DELAY_MILLIS);
         List<CompletableFuture<HttpResponse<String>>> deposits = deposits("cut-");
-        Wait.pass(Duration.ofMillis(PATH_DELAY_MILLIS / 2));
+        Wait.sleep(Duration.ofMillis(PATH_DELAY_MILLIS / 2));
         path.cut();
         path.delay(0);
         assertAnsweredOnce(deposits, "cut-");
@@ -156,7 +156,7 @@
         long before =
                 new HttpObjectStore(platform.url()).members(0, Duration.ZERO).version();
         platform.down(true);
-        Wait.pass(Duration.ofMillis(50));
+        Wait.sleep(Duration.ofMillis(50));
         platform.slow(STORE_DELAY_MILLIS);
         platform.down(false);
         platform.list(new ListedVm("other", "entry", "akl-east", "", 1, 1, true));
@@ -182,7 +182,7 @@
         try (ServerSocket silent = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
             left.proxy().target(silent.getLocalPort());
             deposits = deposits("silent-");
-            Wait.pass(SILENCE);
+            Wait.sleep(SILENCE);
         }
         assertAnsweredOnce(deposits, "silent-");
     }
@@ -199,7 +199,7 @@
         try (ServerSocket silent = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
             left.proxy().target(silent.getLocalPort());
             List<CompletableFuture<HttpResponse<String>>> deposits = deposits("back-");
-            Wait.pass(Duration.ofMillis(200));
+            Wait.sleep(Duration.ofMillis(200));
             left.start();
             assertAnsweredOnce(deposits, "back-");
         }
--- a/cli/src/test/java/org/quetzalseam/cli/LeavingTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/LeavingTest.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import org.quetzalseam.cli.load.CallerOutcome;
 import org.quetzalseam.cli.load.LoadRun;
-import org.quetzalseam.cli.load.Planned;
+import org.quetzalseam.cli.load.PlannedRequest;
 import org.quetzalseam.cli.load.Report;
 import org.quetzalseam.cli.load.Sample;
 import org.quetzalseam.cli.load.Schedule;
-import org.quetzalseam.cli.load.Told;
 import org.quetzalseam.cli.site.EndpointVm;
 import org.quetzalseam.cli.site.EntryVm;
 import org.quetzalseam.cli.site.Traffic;
@@ -44,11 +44,11 @@
                 TestSite.LIMIT,
                 "the endpoint says that it leaves",
                 () -> leaving.daemon().load().leaving());
-        Wait.pass(Duration.ofMillis(100));
+        Wait.sleep(Duration.ofMillis(100));
         for (int i = 0; i < 30; i++) {
-            assertThat(site.note(site.entry(i % 2)).join().told()).isEqualTo(Told.ANSWERED);
+            assertThat(site.note(site.entry(i % 2)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         }
-        assertThat(running.join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(running.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         stopped.join();
         assertThat(leaving.backend().engine().mostHeld()).isEqualTo(1);
     }
@@ -65,11 +65,11 @@
                 () -> site.decoders().get(0).daemon().load().queued() > 0);
         site.decoders().get(0).stop();
         assertThat(samples)
-                .allSatisfy(sample -> assertThat(sample.join().told())
+                .allSatisfy(sample -> assertThat(sample.join().outcome())
                         .as("%s", sample.join().code())
-                        .isIn(Told.ANSWERED, Told.NOT_RUN));
+                        .isIn(CallerOutcome.ANSWERED, CallerOutcome.NOT_RUN));
         assertThat(samples)
-                .anySatisfy(sample -> assertThat(sample.join().told()).isEqualTo(Told.ANSWERED));
+                .anySatisfy(sample -> assertThat(sample.join().outcome()).isEqualTo(CallerOutcome.ANSWERED));
     }
 
     @Test
@@ -77,7 +77,7 @@
         List<Traffic> traffic = site.site().deployment().traffic().stream()
                 .map(kind -> kind.faster(8))
                 .toList();
-        List<Planned> schedule = Schedule.draw(traffic, 0.15, 9, 3);
+        List<PlannedRequest> schedule = Schedule.draw(traffic, 0.15, 9, 3);
         CompletableFuture<List<Sample>> samples = CompletableFuture.supplyAsync(
                 () -> new LoadRun(site.site(), "rolling", 0).run(schedule, 3), TestThreads.EXECUTOR);
         List<EndpointVm> endpoints = new ArrayList<>(site.services());
@@ -99,9 +99,9 @@
         List<Sample> all = samples.join();
         assertThat(Report.of(site.site(), traffic, all).violations()).isEmpty();
         assertThat(all)
-                .allSatisfy(sample -> assertThat(sample.told())
+                .allSatisfy(sample -> assertThat(sample.outcome())
                         .as("%s %s %s", sample.businessId(), sample.traffic().name(), sample.code())
-                        .isEqualTo(Told.ANSWERED));
+                        .isEqualTo(CallerOutcome.ANSWERED));
     }
 
     /**
@@ -117,7 +117,7 @@
         List<CompletableFuture<HttpResponse<String>>> deposits = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             deposits.add(site.deposit(site.entry(0), "restart-" + i, "restart-" + i));
-            Wait.pass(Duration.ofMillis(5));
+            Wait.sleep(Duration.ofMillis(5));
         }
         assertThat(deposits).allSatisfy(deposit -> {
             HttpResponse<String> response = deposit.join();
@@ -141,7 +141,7 @@
             while (!stopped.isDone()) {
                 String key = name + deposits.size();
                 deposits.add(site.deposit(site.entry(deposits.size() % 2), key, key));
-                Wait.pass(BETWEEN_DEPOSITS);
+                Wait.sleep(BETWEEN_DEPOSITS);
             }
             assertThat(deposits).allSatisfy(deposit -> {
                 HttpResponse<String> response = deposit.join();
--- a/cli/src/test/java/org/quetzalseam/cli/OverloadTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/OverloadTest.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import org.quetzalseam.cli.load.CallerOutcome;
 import org.quetzalseam.cli.load.LoadRun;
 import org.quetzalseam.cli.load.Report;
 import org.quetzalseam.cli.load.Sample;
 import org.quetzalseam.cli.load.Schedule;
-import org.quetzalseam.cli.load.Told;
 import org.quetzalseam.cli.site.Traffic;
 import org.quetzalseam.core.admission.WorkClass;
 import org.quetzalseam.core.catalogue.Route;
@@ -35,16 +35,17 @@
         List<Sample> samples = new LoadRun(site.site(), "over", 0).run(Schedule.draw(traffic, 0.6, 6, 4), 4);
         assertThat(Report.of(site.site(), traffic, samples).violations()).isEmpty();
         assertThat(samples).allSatisfy(sample -> {
-            assertThat(sample.told()).as("%s", sample).isIn(Told.ANSWERED, Told.NOT_RUN);
-            assertThat(sample.told() == Told.ANSWERED || sample.retryAfter()).isTrue();
+            assertThat(sample.outcome()).as("%s", sample).isIn(CallerOutcome.ANSWERED, CallerOutcome.NOT_RUN);
+            assertThat(sample.outcome() == CallerOutcome.ANSWERED || sample.retryAfter())
+                    .isTrue();
         });
         assertThat(samples)
                 .filteredOn(sample -> sample.traffic().workClass() == WorkClass.LONG)
-                .anySatisfy(sample -> assertThat(sample.told()).isEqualTo(Told.NOT_RUN))
-                .anySatisfy(sample -> assertThat(sample.told()).isEqualTo(Told.ANSWERED));
+                .anySatisfy(sample -> assertThat(sample.outcome()).isEqualTo(CallerOutcome.NOT_RUN))
+                .anySatisfy(sample -> assertThat(sample.outcome()).isEqualTo(CallerOutcome.ANSWERED));
         assertThat(samples)
                 .filteredOn(sample -> sample.traffic().workClass() == WorkClass.SHORT)
-                .filteredOn(sample -> sample.told() == Told.NOT_RUN)
+                .filteredOn(sample -> sample.outcome() == CallerOutcome.NOT_RUN)
                 .isEmpty();
         site.awaitAllFree();
     }
@@ -57,6 +58,6 @@
     void aCompletionIsAnsweredThoughItsOrderToDecodeTakesATenthOfASecond() {
         site.decoders().forEach(vm -> vm.proxy().delay(PATH_DELAY_MILLIS));
         Sample sample = site.note(site.entry(0)).join();
-        assertThat(sample.told()).as("%s", sample.code()).isEqualTo(Told.ANSWERED);
+        assertThat(sample.outcome()).as("%s", sample.code()).isEqualTo(CallerOutcome.ANSWERED);
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/RestoredPlatformTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/RestoredPlatformTest.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import org.quetzalseam.cli.load.CallerOutcome;
 import org.quetzalseam.cli.load.Sample;
-import org.quetzalseam.cli.load.Told;
 import org.quetzalseam.cli.site.EndpointVm;
 import org.quetzalseam.cli.site.Wait;
 import org.quetzalseam.daemon.catalogue.CatalogueStore;
@@ -59,14 +59,14 @@
         for (int i = 0; i < 10; i++) {
             platform.list(new ListedVm("other-" + i, "entry", "akl-east", "", 1, 1, true));
         }
-        Wait.pass(Duration.ofMillis(500));
+        Wait.sleep(Duration.ofMillis(500));
         platform.restore(copy);
         EndpointVm gone = site.services().get(0);
         gone.crash();
         gone.unlist();
         awaitListed(5);
         long before = platform.reads();
-        Wait.pass(Duration.ofSeconds(1));
+        Wait.sleep(Duration.ofSeconds(1));
         assertThat(platform.reads() - before).isLessThan(READS_A_SECOND);
     }
 
@@ -89,11 +89,11 @@
         CompletableFuture<Sample> running = site.digest(site.entry(0), 1200, 600, -1);
         site.awaitHeld(1);
         platform.restore(copy);
-        Wait.pass(LISTED_AGAIN.dividedBy(2));
+        Wait.sleep(LISTED_AGAIN.dividedBy(2));
         platform.list(listed(late));
         platform.list(listed(other));
-        assertThat(running.join().told()).as("%s", running.join().code()).isEqualTo(Told.ANSWERED);
-        assertThat(site.note(site.entry(0)).join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(running.join().outcome()).as("%s", running.join().code()).isEqualTo(CallerOutcome.ANSWERED);
+        assertThat(site.note(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
     }
 
     @Test
@@ -105,7 +105,7 @@
         platform.list(listed(late));
         awaitListed(6);
         platform.restore(copy);
-        Wait.pass(LISTED_AGAIN.dividedBy(2));
+        Wait.sleep(LISTED_AGAIN.dividedBy(2));
         assertThat(site.entry(0).daemon().listedEndpoints()).isEqualTo(6);
         awaitListed(5);
     }
--- a/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.quetzalseam.cli.load.Caller;
-import org.quetzalseam.cli.load.Planned;
+import org.quetzalseam.cli.load.CallerOutcome;
+import org.quetzalseam.cli.load.PlannedRequest;
 import org.quetzalseam.cli.load.Sample;
-import org.quetzalseam.cli.load.Told;
 import org.quetzalseam.cli.site.Deployment;
 import org.quetzalseam.cli.site.Traffic;
 import org.quetzalseam.cli.site.Wait;
@@ -63,7 +63,7 @@
         new CatalogueStore(new HttpObjectStore(platform.url())).propose(deployment.catalogue(), 0, "test");
         Wait.until(TestSite.LIMIT, "the entry is ready", () -> isReady(entry()));
         Wait.until(
-                TestSite.LIMIT, "requests are answered", () -> digest(5).join().told() == Told.ANSWERED);
+                TestSite.LIMIT, "requests are answered", () -> digest(5).join().outcome() == CallerOutcome.ANSWERED);
     }
 
     @AfterEach
@@ -99,7 +99,8 @@
 
     private CompletableFuture<Sample> digest(int outputs) {
         Traffic traffic = deployment.traffic().get(0);
-        Planned planned = new Planned(outputs, 0, traffic, traffic.owners().get(0), 1200, outputs);
+        PlannedRequest planned =
+                new PlannedRequest(outputs, 0, traffic, traffic.owners().get(0), 1200, outputs);
         String url = "http://127.0.0.1:" + entry().port();
         return CompletableFuture.supplyAsync(
                 () -> caller.send(planned, url, System.nanoTime(), "own", -1), TestThreads.EXECUTOR);
@@ -114,7 +115,7 @@
         CompletableFuture<Sample> running = digest(200);
         awaitHeld();
         assertThat(entry().stop()).isZero();
-        assertThat(running.join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(running.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
     }
 
     @Test
@@ -122,7 +123,7 @@
         CompletableFuture<Sample> running = digest(200);
         awaitHeld();
         assertThat(decodeEndpoint().stop()).isZero();
-        assertThat(running.join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(running.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
     }
 
     @Test
@@ -130,9 +131,9 @@
         CompletableFuture<Sample> running = digest(200);
         awaitHeld();
         decodeEndpoint().signal("stop");
-        Wait.pass(Duration.ofMillis(2500));
+        Wait.sleep(Duration.ofMillis(2500));
         decodeEndpoint().signal("cont");
-        assertThat(running.join().told()).isEqualTo(Told.ANSWERED);
+        assertThat(running.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
     }
 
     @Test
@@ -143,7 +144,7 @@
         entry().signal("stop");
         Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.held() == 0);
         entry().signal("cont");
-        assertThat(running.join().told()).isEqualTo(Told.INCOMPLETE);
+        assertThat(running.join().outcome()).isEqualTo(CallerOutcome.INCOMPLETE);
     }
 
     @Test
@@ -152,6 +153,6 @@
         awaitHeld();
         entry().kill();
         Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.held() == 0);
-        assertThat(running.join().told()).isEqualTo(Told.CUT_OFF);
+        assertThat(running.join().outcome()).isEqualTo(CallerOutcome.CUT_OFF);
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/TestSite.java
+++ b/cli/src/test/java/org/quetzalseam/cli/TestSite.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.quetzalseam.cli.load.Caller;
-import org.quetzalseam.cli.load.Planned;
+import org.quetzalseam.cli.load.PlannedRequest;
 import org.quetzalseam.cli.load.Sample;
 import org.quetzalseam.cli.site.Deployment;
 import org.quetzalseam.cli.site.EndpointVm;
@@ -96,12 +96,12 @@
         return send(entry, planned("citation-notes", 50, 5), -1);
     }
 
-    private synchronized Planned planned(String kind, int promptTokens, int outputTokens) {
+    private synchronized PlannedRequest planned(String kind, int promptTokens, int outputTokens) {
         Traffic traffic = traffic(kind);
-        return new Planned(number++, 0, traffic, traffic.owners().get(0), promptTokens, outputTokens);
+        return new PlannedRequest(number++, 0, traffic, traffic.owners().get(0), promptTokens, outputTokens);
     }
 
-    private CompletableFuture<Sample> send(EntryVm entry, Planned planned, int hangUpAfter) {
+    private CompletableFuture<Sample> send(EntryVm entry, PlannedRequest planned, int hangUpAfter) {
         String url = entry.url();
         return CompletableFuture.supplyAsync(
                 () -> caller.send(planned, url, System.nanoTime(), "test", hangUpAfter), TestThreads.EXECUTOR);
--- a/cli/src/test/java/org/quetzalseam/cli/WholePathTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/WholePathTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.quetzalseam.cli.load.CallerOutcome;
 import org.quetzalseam.cli.load.LoadRun;
 import org.quetzalseam.cli.load.Report;
 import org.quetzalseam.cli.load.Sample;
 import org.quetzalseam.cli.load.Schedule;
-import org.quetzalseam.cli.load.Told;
 import org.quetzalseam.cli.site.Deployment;
 import org.quetzalseam.cli.site.Site;
 import org.quetzalseam.cli.site.SiteOptions;
@@ -39,8 +39,8 @@
         List<Sample> samples = new LoadRun(site, "whole", 0).run(Schedule.draw(traffic, 0.3, 2, 7), 7);
         assertThat(Report.of(site, traffic, samples).violations()).isEmpty();
         assertThat(samples)
-                .allSatisfy(sample -> assertThat(sample.told())
+                .allSatisfy(sample -> assertThat(sample.outcome())
                         .as("%s %s", sample.businessId(), sample.code())
-                        .isIn(Told.ANSWERED, Told.UNKNOWN));
+                        .isIn(CallerOutcome.ANSWERED, CallerOutcome.UNKNOWN));
     }
 }
