--- a/cli/src/main/java/org/quetzalseam/cli/fault/Fault.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/Fault.java
@@ -126,7 +126,7 @@
             CATALOGUE_RACE.inject(site, random);
             Wait.sleep(Duration.ofMillis(random.nextInt(200, 1_500)));
             if (old != null) {
-                site.platform().force(CatalogueStore.ACCEPTED, old);
+                site.platform().overwrite(CatalogueStore.ACCEPTED, old);
             }
         }
     },
--- a/cli/src/main/java/org/quetzalseam/cli/fault/FaultRun.java
+++ b/cli/src/main/java/org/quetzalseam/cli/fault/FaultRun.java
@@ -165,8 +165,8 @@
                 "engines hold memory or prefill prompts without a request",
                 () -> site.endpoints().stream()
                         .filter(vm -> vm.backend().isEngine())
-                        .allMatch(vm -> vm.backend().engine().held() == 0
-                                && vm.backend().engine().prefilling() == 0));
+                        .allMatch(vm -> vm.backend().engine().heldSequences() == 0
+                                && vm.backend().engine().pendingPrefills() == 0));
         check(
                 violations,
                 "an endpoint has queued work or counts free places as occupied",
--- a/cli/src/test/java/org/quetzalseam/cli/CallerGoneTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CallerGoneTest.java
@@ -66,13 +66,14 @@
             Wait.until(
                     TestSite.LIMIT,
                     "a prompt in prefill",
-                    () -> site.prefiller().backend().engine().prefilling() > 0);
+                    () -> site.prefiller().backend().engine().pendingPrefills() > 0);
             assertThat(placesHeld()).isEqualTo(1);
             assertThat(socket.isConnected()).isTrue();
         }
         site.awaitAllFree();
         assertThat(site.decoders())
-                .allSatisfy(vm -> assertThat(vm.backend().engine().mostHeld()).isZero());
+                .allSatisfy(vm ->
+                        assertThat(vm.backend().engine().maxHeldSequences()).isZero());
     }
 
     @Test
--- a/cli/src/test/java/org/quetzalseam/cli/CatalogueFailureTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CatalogueFailureTest.java
@@ -148,7 +148,7 @@
         long version = store.propose(changed("kept"), base(), "me").version();
         awaitInForce(version);
         assertThat(old).isNotNull();
-        platform.force(CatalogueStore.ACCEPTED, old);
+        platform.overwrite(CatalogueStore.ACCEPTED, old);
         Wait.until(TestSite.LIMIT, "the store is set right", () -> base() == version);
         assertThat(site.entry(0).daemon().catalogueVersion()).isEqualTo(version);
         assertThat(site.entry(1).daemon().catalogueVersion()).isEqualTo(version);
--- a/cli/src/test/java/org/quetzalseam/cli/KeyInquiryTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/KeyInquiryTest.java
@@ -180,7 +180,7 @@
         left.stop();
         List<CompletableFuture<HttpResponse<String>>> deposits;
         try (ServerSocket silent = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
-            left.proxy().target(silent.getLocalPort());
+            left.proxy().redirect(silent.getLocalPort());
             deposits = deposits("silent-");
             Wait.sleep(SILENCE);
         }
@@ -197,7 +197,7 @@
         EndpointVm left = site.services().get(0);
         left.stop();
         try (ServerSocket silent = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
-            left.proxy().target(silent.getLocalPort());
+            left.proxy().redirect(silent.getLocalPort());
             List<CompletableFuture<HttpResponse<String>>> deposits = deposits("back-");
             Wait.sleep(Duration.ofMillis(200));
             left.start();
--- a/cli/src/test/java/org/quetzalseam/cli/LeavingTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/LeavingTest.java
@@ -50,7 +50,7 @@
         }
         assertThat(running.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         stopped.join();
-        assertThat(leaving.backend().engine().mostHeld()).isEqualTo(1);
+        assertThat(leaving.backend().engine().maxHeldSequences()).isEqualTo(1);
     }
 
     @Test
--- a/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
@@ -107,7 +107,7 @@
     }
 
     private void awaitHeld() {
-        Wait.until(TestSite.LIMIT, "decoding", () -> decoder.held() > 0);
+        Wait.until(TestSite.LIMIT, "decoding", () -> decoder.heldSequences() > 0);
     }
 
     @Test
@@ -142,7 +142,7 @@
         CompletableFuture<Sample> running = digest(600);
         awaitHeld();
         entry().signal("stop");
-        Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.held() == 0);
+        Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.heldSequences() == 0);
         entry().signal("cont");
         assertThat(running.join().outcome()).isEqualTo(CallerOutcome.INCOMPLETE);
     }
@@ -152,7 +152,7 @@
         CompletableFuture<Sample> running = digest(600);
         awaitHeld();
         entry().kill();
-        Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.held() == 0);
+        Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.heldSequences() == 0);
         assertThat(running.join().outcome()).isEqualTo(CallerOutcome.CUT_OFF);
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/TestSite.java
+++ b/cli/src/test/java/org/quetzalseam/cli/TestSite.java
@@ -157,8 +157,8 @@
     /** Returns whether no engine holds memory and no endpoint believes that one does. */
     boolean allFree() {
         boolean engines =
-                decoders().stream().allMatch(vm -> vm.backend().engine().held() == 0)
-                        && prefiller().backend().engine().prefilling() == 0;
+                decoders().stream().allMatch(vm -> vm.backend().engine().heldSequences() == 0)
+                        && prefiller().backend().engine().pendingPrefills() == 0;
         return engines
                 && decoders().stream()
                         .filter(EndpointVm::running)
@@ -176,7 +176,7 @@
                 LIMIT,
                 count + " sequences in decode memory",
                 () -> decoders().stream()
-                                .mapToInt(vm -> vm.backend().engine().held())
+                                .mapToInt(vm -> vm.backend().engine().heldSequences())
                                 .sum()
                         >= count);
     }
@@ -184,7 +184,7 @@
     /** Returns the decode endpoint whose engine holds memory. */
     EndpointVm busyDecoder() {
         return decoders().stream()
-                .filter(vm -> vm.backend().engine().held() > 0)
+                .filter(vm -> vm.backend().engine().heldSequences() > 0)
                 .findFirst()
                 .orElseThrow();
     }
--- a/standins/src/main/java/org/quetzalseam/standins/DecodeBatch.java
+++ b/standins/src/main/java/org/quetzalseam/standins/DecodeBatch.java
@@ -12,8 +12,8 @@
     static final class Sequence {
         private final String id;
         private final int outputs;
-        private int made;
-        private int taken;
+        private int produced;
+        private int consumed;
         private boolean running;
         private boolean cancelled;
 
@@ -27,8 +27,8 @@
         }
 
         /** Waits for the next output and returns its index, or -1 when the sequence is complete or cancelled. */
-        synchronized int next() {
-            while (taken >= made && made < outputs && !cancelled) {
+        synchronized int awaitNext() {
+            while (consumed >= produced && produced < outputs && !cancelled) {
                 try {
                     wait();
                 } catch (InterruptedException e) {
@@ -36,21 +36,21 @@
                     cancelled = true;
                 }
             }
-            return taken < made && !cancelled ? taken++ : -1;
+            return consumed < produced && !cancelled ? consumed++ : -1;
         }
 
         synchronized boolean isComplete() {
-            return taken >= outputs;
+            return consumed >= outputs;
         }
 
         private synchronized void step() {
-            if (running && made < outputs) {
-                made++;
+            if (running && produced < outputs) {
+                produced++;
                 notifyAll();
             }
         }
 
-        private synchronized void begin() {
+        private synchronized void start() {
             running = true;
         }
 
@@ -62,33 +62,33 @@
 
     private final EngineCosts costs;
     private final Map<String, Sequence> sequences = new LinkedHashMap<>();
-    private int mostHeld;
+    private int maxHeldSequences;
     private boolean stopped;
 
     DecodeBatch(EngineCosts costs) {
         this.costs = costs;
-        Thread worker = new Thread(this::work, "stand-in-decode");
+        Thread worker = new Thread(this::run, "stand-in-decode");
         worker.setDaemon(true);
         worker.start();
     }
 
     /** Allocates memory for a sequence. Returns null when no slot is free or the sequence already holds one. */
-    synchronized @Nullable Sequence enter(String id, int outputs) {
+    synchronized @Nullable Sequence add(String id, int outputs) {
         if (sequences.size() >= costs.slots() || sequences.containsKey(id)) {
             return null;
         }
         Sequence sequence = new Sequence(id, Math.max(1, outputs));
         sequences.put(id, sequence);
-        mostHeld = Math.max(mostHeld, sequences.size());
+        maxHeldSequences = Math.max(maxHeldSequences, sequences.size());
         notifyAll();
         return sequence;
     }
 
-    void begin(Sequence sequence) {
-        sequence.begin();
+    void start(Sequence sequence) {
+        sequence.start();
     }
 
-    synchronized void leave(Sequence sequence) {
+    synchronized void remove(Sequence sequence) {
         sequences.remove(sequence.id, sequence);
     }
 
@@ -102,15 +102,15 @@
         }
     }
 
-    synchronized int held() {
+    synchronized int heldSequences() {
         return sequences.size();
     }
 
-    synchronized int mostHeld() {
-        return mostHeld;
+    synchronized int maxHeldSequences() {
+        return maxHeldSequences;
     }
 
-    private void work() {
+    private void run() {
         int size = awaitWork();
         while (size > 0) {
             Pause.nanos((costs.stepMicros() + costs.stepMicrosPerSequence() * size) * NANOS_PER_MICRO);
--- a/standins/src/main/java/org/quetzalseam/standins/EngineCosts.java
+++ b/standins/src/main/java/org/quetzalseam/standins/EngineCosts.java
@@ -9,7 +9,7 @@
  * @param stepMicrosPerSequence time that each sequence adds to a decode step, in microseconds
  * @param kvBytesPerToken size of the KV cache of one token, in bytes
  * @param linkBytesPerMilli rate of the link over which a decode engine fetches KV caches, in bytes per millisecond
- * @param kvLifeMillis how long a KV cache can be fetched after its prefill, in milliseconds
+ * @param kvRetentionMillis how long a KV cache can be fetched after its prefill, in milliseconds
  * @param cachedTokens capacity of the prefix cache of a prefill engine, in prompt tokens
  */
 public record EngineCosts(
@@ -19,7 +19,7 @@
         long stepMicrosPerSequence,
         long kvBytesPerToken,
         long linkBytesPerMilli,
-        long kvLifeMillis,
+        long kvRetentionMillis,
         long cachedTokens) {
     /** Returns costs in the proportions that the users describe, at real speed. */
     public static EngineCosts usual() {
@@ -38,7 +38,7 @@
                 (long) (stepMicrosPerSequence / factor),
                 kvBytesPerToken,
                 (long) (linkBytesPerMilli * factor),
-                kvLifeMillis,
+                kvRetentionMillis,
                 cachedTokens);
     }
 }
--- a/standins/src/main/java/org/quetzalseam/standins/EngineStandIn.java
+++ b/standins/src/main/java/org/quetzalseam/standins/EngineStandIn.java
@@ -17,14 +17,14 @@
  */
 public final class EngineStandIn {
     private static final int CHARS_PER_TOKEN = 4;
-    private static final int CANCELLED_KEPT = 10_000;
+    private static final int MAX_CANCELLED_IDS = 10_000;
 
     private final EngineCosts costs;
     private final KvRegistry registry;
     private final TransferLink link;
     private final PrefillBatch prefills;
     private final DecodeBatch decodes;
-    private final Set<String> cancelled = new LinkedHashSet<>();
+    private final Set<String> cancelledIds = new LinkedHashSet<>();
     private volatile boolean refusing;
     private final StandInServer server;
 
@@ -44,17 +44,17 @@
     }
 
     /** Returns the number of sequences that hold memory now. */
-    public int held() {
-        return decodes.held();
+    public int heldSequences() {
+        return decodes.heldSequences();
     }
 
     /** Returns the highest number of sequences that held memory at the same time. */
-    public int mostHeld() {
-        return decodes.mostHeld();
+    public int maxHeldSequences() {
+        return decodes.maxHeldSequences();
     }
 
     /** Returns the number of prompts whose prefill is queued or in progress. */
-    public int prefilling() {
+    public int pendingPrefills() {
         return prefills.size();
     }
 
@@ -92,10 +92,10 @@
     }
 
     private void cancel(String id) {
-        synchronized (cancelled) {
-            cancelled.add(id);
-            if (cancelled.size() > CANCELLED_KEPT) {
-                cancelled.remove(cancelled.iterator().next());
+        synchronized (cancelledIds) {
+            cancelledIds.add(id);
+            if (cancelledIds.size() > MAX_CANCELLED_IDS) {
+                cancelledIds.remove(cancelledIds.iterator().next());
             }
         }
         prefills.cancel(id);
@@ -103,8 +103,8 @@
     }
 
     private boolean isCancelled(String id) {
-        synchronized (cancelled) {
-            return cancelled.contains(id);
+        synchronized (cancelledIds) {
+            return cancelledIds.contains(id);
         }
     }
 
@@ -113,7 +113,7 @@
         int tokens = tokens(request);
         String hash = hash(request);
         boolean done = !isCancelled(id)
-                && prefills.run(
+                && prefills.prefill(
                         id,
                         request.path("prompt").asText(),
                         tokens,
@@ -122,7 +122,7 @@
             StandInServer.answerEmpty(exchange, 499);
             return;
         }
-        registry.put(id, hash, tokens, costs.kvLifeMillis());
+        registry.put(id, hash, tokens, costs.kvRetentionMillis());
         ObjectNode answer = StandInServer.JSON.createObjectNode();
         answer.putObject("kv_transfer_params").put("kv_id", id);
         StandInServer.answer(exchange, 200, answer);
@@ -131,46 +131,46 @@
     private void decode(HttpExchange exchange, JsonNode request) throws IOException {
         String id = request.path("request_id").asText();
         DecodeBatch.Sequence sequence =
-                decodes.enter(id, request.path("max_tokens").asInt());
+                decodes.add(id, request.path("max_tokens").asInt());
         if (sequence == null) {
             StandInServer.answerEmpty(exchange, 503);
             return;
         }
         try {
-            var kv = registry.take(
+            var kv = registry.fetch(
                     request.path("kv_transfer_params").path("kv_id").asText());
             if (kv.isEmpty() || isCancelled(id)) {
-                kv.ifPresent(unused -> registry.wasted(unused.tokens()));
+                kv.ifPresent(unused -> registry.recordWasted(unused.tokens()));
                 StandInServer.answerEmpty(exchange, kv.isEmpty() ? 410 : 499);
                 return;
             }
             link.transfer(kv.get().tokens() * costs.kvBytesPerToken());
             exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
             exchange.sendResponseHeaders(200, 0);
-            stream(exchange, sequence, kv.get().prompt());
+            stream(exchange, sequence, kv.get().promptHash());
         } finally {
-            decodes.leave(sequence);
+            decodes.remove(sequence);
         }
     }
 
     private void stream(HttpExchange exchange, DecodeBatch.Sequence sequence, String hash) throws IOException {
-        decodes.begin(sequence);
-        int index = sequence.next();
+        decodes.start(sequence);
+        int index = sequence.awaitNext();
         while (index >= 0) {
             ObjectNode event = StandInServer.JSON.createObjectNode();
             ObjectNode choice = event.putArray("choices").addObject().put("text", hash + ":" + index + " ");
             if (index == sequence.outputs() - 1) {
                 choice.put("finish_reason", "length");
             }
-            write(exchange, "data: " + event + "\n\n");
-            index = sequence.next();
+            writeEvent(exchange, "data: " + event + "\n\n");
+            index = sequence.awaitNext();
         }
         if (sequence.isComplete()) {
-            write(exchange, "data: [DONE]\n\n");
+            writeEvent(exchange, "data: [DONE]\n\n");
         }
     }
 
-    private static void write(HttpExchange exchange, String text) throws IOException {
+    private static void writeEvent(HttpExchange exchange, String text) throws IOException {
         exchange.getResponseBody().write(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         exchange.getResponseBody().flush();
     }
--- a/standins/src/main/java/org/quetzalseam/standins/KvRegistry.java
+++ b/standins/src/main/java/org/quetzalseam/standins/KvRegistry.java
@@ -12,32 +12,32 @@
     /**
      * A KV cache of one prompt.
      *
-     * @param prompt hash of the prompt
+     * @param promptHash hash of the prompt
      * @param tokens length of the prompt, in tokens
-     * @param expires when it expires, in nanoseconds of the monotonic clock
+     * @param expiresAtNanos when it expires, in nanoseconds of the monotonic clock
      */
-    record Kv(String prompt, int tokens, long expires) {}
+    record KvCache(String promptHash, int tokens, long expiresAtNanos) {}
 
-    private final Map<String, Kv> held = new HashMap<>();
+    private final Map<String, KvCache> caches = new HashMap<>();
     private long madeTokens;
     private long wastedTokens;
 
     synchronized void put(String id, String prompt, int tokens, long lifeMillis) {
-        held.put(id, new Kv(prompt, tokens, System.nanoTime() + lifeMillis * NANOS_PER_MILLI));
+        caches.put(id, new KvCache(prompt, tokens, System.nanoTime() + lifeMillis * NANOS_PER_MILLI));
         madeTokens += tokens;
     }
 
-    synchronized Optional<Kv> take(String id) {
-        sweep();
-        return Optional.ofNullable(held.remove(id));
+    synchronized Optional<KvCache> fetch(String id) {
+        removeExpired();
+        return Optional.ofNullable(caches.remove(id));
     }
 
-    private void sweep() {
+    private void removeExpired() {
         long now = System.nanoTime();
-        Iterator<Kv> all = held.values().iterator();
+        Iterator<KvCache> all = caches.values().iterator();
         while (all.hasNext()) {
-            Kv kv = all.next();
-            if (kv.expires() - now < 0) {
+            KvCache kv = all.next();
+            if (kv.expiresAtNanos() - now < 0) {
                 wastedTokens += kv.tokens();
                 all.remove();
             }
@@ -45,7 +45,7 @@
     }
 
     /** Records prompt tokens whose prefill was wasted. */
-    synchronized void wasted(int tokens) {
+    synchronized void recordWasted(int tokens) {
         wastedTokens += tokens;
     }
 
@@ -56,6 +56,7 @@
 
     /** Returns the number of prefilled prompt tokens that were wasted or whose KV cache has not been fetched yet. */
     public synchronized long wastedTokens() {
-        return wastedTokens + held.values().stream().mapToLong(Kv::tokens).sum();
+        return wastedTokens
+                + caches.values().stream().mapToLong(KvCache::tokens).sum();
     }
 }
--- a/standins/src/main/java/org/quetzalseam/standins/LinkProxy.java
+++ b/standins/src/main/java/org/quetzalseam/standins/LinkProxy.java
@@ -17,19 +17,19 @@
  * ones, freeze (bytes are held back and arrive late), delay, or drop bytes in one or both directions. Thread-safe.
  */
 public final class LinkProxy {
-    private static final int BUFFER = 16_384;
+    private static final int BUFFER_BYTES = 16_384;
     private static final int BACKLOG = 256;
 
     private final String name;
     private final ServerSocket server;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final Set<Socket> silent = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> droppingSockets = ConcurrentHashMap.newKeySet();
     private final Object gate = new Object();
     private boolean frozen;
-    private volatile int target;
+    private volatile int targetPort;
     private volatile long delayMillis;
-    private volatile boolean silentThere;
-    private volatile boolean silentBack;
+    private volatile boolean dropsToTarget;
+    private volatile boolean dropsFromTarget;
     private volatile boolean refusing;
 
     /** Starts a proxy to a loopback port. */
@@ -40,16 +40,16 @@
     /** Starts a proxy to a loopback port, with a name for its threads. */
     public LinkProxy(String name, int target) {
         this.name = name;
-        this.target = target;
+        this.targetPort = target;
         try {
             this.server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        run("accept", this::accept);
+        startThread("accept", this::accept);
     }
 
-    private void run(String part, Runnable task) {
+    private void startThread(String part, Runnable task) {
         Thread thread = new Thread(task, name + "-" + part);
         thread.setDaemon(true);
         thread.start();
@@ -70,8 +70,8 @@
     }
 
     /** Forwards new connections to another port. */
-    public void target(int port) {
-        target = port;
+    public void redirect(int port) {
+        targetPort = port;
     }
 
     /** Closes all connections in order; new ones are accepted at once. */
@@ -106,23 +106,23 @@
     }
 
     /** Drops the bytes to the target, from it, or both, on open and on new connections. */
-    public void silence(boolean there, boolean back) {
-        silentThere = there;
-        silentBack = back;
+    public void dropBytes(boolean there, boolean back) {
+        dropsToTarget = there;
+        dropsFromTarget = back;
     }
 
     /** Drops from now on all bytes of the connections that are open, in both directions and permanently; new ones work. */
-    public void silenceOpen() {
-        silent.addAll(sockets);
+    public void dropBytesOfOpenConnections() {
+        droppingSockets.addAll(sockets);
     }
 
     /** Ends every fault. Connections that may have lost bytes are reset because later bytes would follow a gap. */
     public void heal() {
-        boolean lossy = silentThere || silentBack;
+        boolean lossy = dropsToTarget || dropsFromTarget;
         delay(0);
         freeze(false);
         partition(false);
-        silence(false, false);
+        dropBytes(false, false);
         if (lossy) {
             reset();
         }
@@ -145,13 +145,13 @@
             return;
         }
         try {
-            Socket callee = new Socket(InetAddress.getLoopbackAddress(), target);
+            Socket callee = new Socket(InetAddress.getLoopbackAddress(), targetPort);
             caller.setTcpNoDelay(true);
             callee.setTcpNoDelay(true);
             sockets.add(caller);
             sockets.add(callee);
-            run("there", () -> copy(caller, callee, true));
-            run("back", () -> copy(callee, caller, false));
+            startThread("there", () -> copy(caller, callee, true));
+            startThread("back", () -> copy(callee, caller, false));
         } catch (IOException e) {
             reset(caller);
         }
@@ -159,16 +159,16 @@
 
     private void copy(Socket from, Socket to, boolean there) {
         boolean bytesLost = false;
-        byte[] buffer = new byte[BUFFER];
+        byte[] buffer = new byte[BUFFER_BYTES];
         try {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
             int length = in.read(buffer);
             while (length >= 0) {
-                awaitThaw();
+                awaitUnfrozen();
                 sleep(delayMillis);
                 // Drops everything after a loss, because a real connection delivers nothing beyond a gap.
-                bytesLost |= (there ? silentThere : silentBack) || silent.contains(from);
+                bytesLost |= (there ? dropsToTarget : dropsFromTarget) || droppingSockets.contains(from);
                 if (!bytesLost) {
                     out.write(buffer, 0, length);
                 }
@@ -182,7 +182,7 @@
             reset(from);
         }
         sockets.removeAll(List.of(from, to));
-        silent.removeAll(List.of(from, to));
+        droppingSockets.removeAll(List.of(from, to));
     }
 
     private static void sleep(long millis) {
@@ -193,7 +193,7 @@
         }
     }
 
-    private void awaitThaw() {
+    private void awaitUnfrozen() {
         synchronized (gate) {
             while (frozen) {
                 try {
--- a/standins/src/main/java/org/quetzalseam/standins/PlatformStandIn.java
+++ b/standins/src/main/java/org/quetzalseam/standins/PlatformStandIn.java
@@ -19,9 +19,9 @@
  * Thread-safe.
  */
 public final class PlatformStandIn {
-    private static final String OBJECTS = "/apis/quetzalseam/v1/objects/";
-    private static final String VMS = "/apis/quetzalseam/v1/vms";
-    private static final String ERA = "Store-Era";
+    private static final String OBJECTS_PATH = "/apis/quetzalseam/v1/objects/";
+    private static final String VMS_PATH = "/apis/quetzalseam/v1/vms";
+    private static final String ERA_HEADER = "Store-Era";
 
     /**
      * A VM on the platform's list.
@@ -122,7 +122,7 @@
     }
 
     /** Overwrites an object unconditionally, as a restore from a backup does. */
-    public void force(String name, String data) {
+    public void overwrite(String name, String data) {
         synchronized (lock) {
             objects.put(name, new Stored(++version, data));
             lock.notifyAll();
@@ -151,8 +151,8 @@
     }
 
     /** Sets the era in the response headers. The caller holds the lock under which it reads the content, so that both match. */
-    private void stamp(HttpExchange exchange) {
-        exchange.getResponseHeaders().set(ERA, Long.toString(era));
+    private void setEraHeader(HttpExchange exchange) {
+        exchange.getResponseHeaders().set(ERA_HEADER, Long.toString(era));
     }
 
     /** Returns the number of reads received; a watch counts as one. */
@@ -167,23 +167,23 @@
 
     private void handle(HttpExchange exchange) throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
-        if (!available()) {
+        if (!isAvailableAfterDelay()) {
             StandInServer.answerEmpty(exchange, 503);
             return;
         }
         String path = exchange.getRequestURI().getPath();
-        if (path.equals(VMS)) {
+        if (path.equals(VMS_PATH)) {
             watchVms(exchange);
-        } else if (!path.startsWith(OBJECTS)) {
+        } else if (!path.startsWith(OBJECTS_PATH)) {
             StandInServer.answerEmpty(exchange, 404);
         } else if (exchange.getRequestMethod().equals("GET")) {
-            get(exchange, path.substring(OBJECTS.length()));
+            get(exchange, path.substring(OBJECTS_PATH.length()));
         } else {
-            write(exchange, path.substring(OBJECTS.length()), StandInServer.JSON.readTree(body));
+            write(exchange, path.substring(OBJECTS_PATH.length()), StandInServer.JSON.readTree(body));
         }
     }
 
-    private boolean available() {
+    private boolean isAvailableAfterDelay() {
         long delay;
         synchronized (lock) {
             delay = delayMillis;
@@ -210,9 +210,9 @@
             }
             stored = objects.get(name);
             available = !down;
-            stamp(exchange);
+            setEraHeader(exchange);
         }
-        boolean unchanged = query.containsKey("watch") && stored != null && stored.version() == asked(query);
+        boolean unchanged = query.containsKey("watch") && stored != null && stored.version() == requestedVersion(query);
         if (!available) {
             StandInServer.answerEmpty(exchange, 503);
         } else if (stored == null) {
@@ -224,12 +224,12 @@
         }
     }
 
-    private static long asked(Map<String, String> query) {
+    private static long requestedVersion(Map<String, String> query) {
         return Long.parseLong(query.getOrDefault("resourceVersion", "0"));
     }
 
     private interface Version {
-        long now();
+        long current();
     }
 
     /** Waits, with the lock held, until the version differs from the requested one, the era changes, an outage begins or the time is over. */
@@ -238,7 +238,7 @@
                 + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(query.getOrDefault("timeoutMillis", "0")));
         long left = end - System.nanoTime();
         long before = era;
-        while (current.now() == asked(query) && left > 0 && !down && era == before) {
+        while (current.current() == requestedVersion(query) && left > 0 && !down && era == before) {
             try {
                 TimeUnit.NANOSECONDS.timedWait(lock, left);
             } catch (InterruptedException e) {
@@ -267,7 +267,7 @@
                 lost = answersToLose > 0;
                 answersToLose -= lost ? 1 : 0;
             }
-            stamp(exchange);
+            setEraHeader(exchange);
         }
         if (lost) {
             StandInServer.answerEmpty(exchange, 504);
@@ -292,7 +292,7 @@
         synchronized (lock) {
             await(query(exchange), () -> vmsVersion);
             available = !down;
-            stamp(exchange);
+            setEraHeader(exchange);
             node.putObject("metadata").put("resourceVersion", vmsVersion);
             ArrayNode items = node.putArray("items");
             List.copyOf(vms.values()).forEach(vm -> items.add(json(vm)));
--- a/standins/src/main/java/org/quetzalseam/standins/PrefillBatch.java
+++ b/standins/src/main/java/org/quetzalseam/standins/PrefillBatch.java
@@ -18,22 +18,22 @@
     private static final class Prompt {
         final String id;
         final int priority;
-        int left;
+        int remainingTokens;
         boolean cancelled;
 
         Prompt(String id, int priority, int left) {
             this.id = id;
             this.priority = priority;
-            this.left = left;
+            this.remainingTokens = left;
         }
     }
 
     private final EngineCosts costs;
     private final KvRegistry registry;
-    private final List<Prompt> waiting = new ArrayList<>();
+    private final List<Prompt> pending = new ArrayList<>();
     private final Map<String, Integer> prefixes = new LinkedHashMap<>(16, 0.75f, true);
-    private final Thread worker = new Thread(this::work, "stand-in-prefill");
-    private long cached;
+    private final Thread worker = new Thread(this::runWorker, "stand-in-prefill");
+    private long cachedTokens;
     private boolean stopped;
 
     PrefillBatch(EngineCosts costs, KvRegistry registry) {
@@ -44,11 +44,11 @@
     }
 
     /** Prefills a prompt and waits for the end. Returns false when it was cancelled or the engine stopped before. */
-    synchronized boolean run(String id, String text, int tokens, int priority) {
-        Prompt prompt = new Prompt(id, priority, Math.max(1, tokens - known(text)));
-        waiting.add(prompt);
+    synchronized boolean prefill(String id, String text, int tokens, int priority) {
+        Prompt prompt = new Prompt(id, priority, Math.max(1, tokens - lookUpPrefix(text)));
+        pending.add(prompt);
         notifyAll();
-        while (prompt.left > 0 && !prompt.cancelled && !stopped) {
+        while (prompt.remainingTokens > 0 && !prompt.cancelled && !stopped) {
             try {
                 wait();
             } catch (InterruptedException e) {
@@ -56,55 +56,55 @@
                 prompt.cancelled = true;
             }
         }
-        waiting.remove(prompt);
-        if (prompt.left > 0) {
-            registry.wasted(Math.max(0, tokens - prompt.left));
+        pending.remove(prompt);
+        if (prompt.remainingTokens > 0) {
+            registry.recordWasted(Math.max(0, tokens - prompt.remainingTokens));
         }
-        return prompt.left <= 0 && !prompt.cancelled;
+        return prompt.remainingTokens <= 0 && !prompt.cancelled;
     }
 
-    private int known(String text) {
+    private int lookUpPrefix(String text) {
         String prefix = text.substring(0, Math.min(PREFIX_CHARS, text.length()));
         int tokens = prefix.length() / CHARS_PER_TOKEN;
         boolean hit = prefixes.put(prefix, tokens) != null;
         if (!hit) {
-            cached += tokens;
+            cachedTokens += tokens;
         }
-        while (cached > costs.cachedTokens()) {
+        while (cachedTokens > costs.cachedTokens()) {
             String eldest = prefixes.keySet().iterator().next();
-            cached -= prefixes.getOrDefault(eldest, 0);
+            cachedTokens -= prefixes.getOrDefault(eldest, 0);
             prefixes.remove(eldest);
         }
         return hit ? tokens : 0;
     }
 
     synchronized void cancel(String id) {
-        waiting.stream().filter(prompt -> prompt.id.equals(id)).forEach(prompt -> prompt.cancelled = true);
+        pending.stream().filter(prompt -> prompt.id.equals(id)).forEach(prompt -> prompt.cancelled = true);
         notifyAll();
     }
 
     synchronized int size() {
-        return waiting.size();
+        return pending.size();
     }
 
-    private void work() {
-        Prompt prompt = next();
+    private void runWorker() {
+        Prompt prompt = awaitNext();
         while (prompt != null) {
-            int chunk = Math.min(CHUNK_TOKENS, prompt.left);
+            int chunk = Math.min(CHUNK_TOKENS, prompt.remainingTokens);
             Pause.nanos(chunk * costs.prefillMicrosPerToken() * NANOS_PER_MICRO);
             synchronized (this) {
-                prompt.left -= chunk;
+                prompt.remainingTokens -= chunk;
                 notifyAll();
             }
-            prompt = next();
+            prompt = awaitNext();
         }
     }
 
-    private synchronized @org.jspecify.annotations.Nullable Prompt next() {
+    private synchronized @org.jspecify.annotations.Nullable Prompt awaitNext() {
         while (!stopped) {
             Prompt best = null;
-            for (Prompt prompt : waiting) {
-                boolean ready = prompt.left > 0 && !prompt.cancelled;
+            for (Prompt prompt : pending) {
+                boolean ready = prompt.remainingTokens > 0 && !prompt.cancelled;
                 if (ready && (best == null || prompt.priority < best.priority)) {
                     best = prompt;
                 }
--- a/standins/src/main/java/org/quetzalseam/standins/ServiceStandIn.java
+++ b/standins/src/main/java/org/quetzalseam/standins/ServiceStandIn.java
@@ -34,11 +34,11 @@
     }
 
     private final Ledger ledger;
-    private final long millis;
+    private final long callMillis;
     private final AtomicLong calls = new AtomicLong();
-    private final Set<Thread> held = ConcurrentHashMap.newKeySet();
-    private volatile long extraMillis;
-    private volatile boolean breaking;
+    private final Set<Thread> callThreads = ConcurrentHashMap.newKeySet();
+    private volatile long extraCallMillis;
+    private volatile boolean breaksOff;
     private final StandInServer server;
 
     /**
@@ -49,7 +49,7 @@
      */
     public ServiceStandIn(Ledger ledger, long millis) {
         this.ledger = ledger;
-        this.millis = millis;
+        this.callMillis = millis;
         this.server = new StandInServer(0, this::handle);
     }
 
@@ -65,12 +65,12 @@
 
     /** Makes later calls take longer by a time in milliseconds. */
     public void slow(long addedMillis) {
-        extraMillis = addedMillis;
+        extraCallMillis = addedMillis;
     }
 
     /** Sets whether the service executes calls and then closes the connection without a response. */
     public void breakOff(boolean now) {
-        breaking = now;
+        breaksOff = now;
     }
 
     private void handle(HttpExchange exchange) throws IOException {
@@ -78,10 +78,10 @@
         byte[] body = exchange.getRequestBody().readAllBytes();
         String id = exchange.getRequestHeaders().getFirst("X-Business-Id");
         int count = id == null ? 1 : ledger.execute(id);
-        held.add(Thread.currentThread());
-        Pause.millis(millis + extraMillis);
-        held.remove(Thread.currentThread());
-        if (breaking) {
+        callThreads.add(Thread.currentThread());
+        Pause.millis(callMillis + extraCallMillis);
+        callThreads.remove(Thread.currentThread());
+        if (breaksOff) {
             throw new IOException("broken off on purpose");
         }
         ObjectNode answer = StandInServer.JSON.createObjectNode();
@@ -95,7 +95,7 @@
 
     /** Stops the service immediately and interrupts calls in progress. */
     public void stop() {
-        held.forEach(Thread::interrupt);
+        callThreads.forEach(Thread::interrupt);
         server.stop();
     }
 }
--- a/standins/src/main/java/org/quetzalseam/standins/TransferLink.java
+++ b/standins/src/main/java/org/quetzalseam/standins/TransferLink.java
@@ -5,7 +5,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final long bytesPerMilli;
-    private long freeAt = System.nanoTime();
+    private long freeAtNanos = System.nanoTime();
 
     TransferLink(long bytesPerMilli) {
         this.bytesPerMilli = bytesPerMilli;
@@ -15,8 +15,8 @@
     void transfer(long bytes) {
         long end;
         synchronized (this) {
-            freeAt = Math.max(freeAt, System.nanoTime()) + bytes * NANOS_PER_MILLI / bytesPerMilli;
-            end = freeAt;
+            freeAtNanos = Math.max(freeAtNanos, System.nanoTime()) + bytes * NANOS_PER_MILLI / bytesPerMilli;
+            end = freeAtNanos;
         }
         Pause.nanos(end - System.nanoTime());
     }
--- a/standins/src/main/java/org/quetzalseam/standins/raw/RawConnection.java
+++ b/standins/src/main/java/org/quetzalseam/standins/raw/RawConnection.java
@@ -26,18 +26,18 @@
     /** Reads the next request. Returns null at the end of the stream. */
     @Nullable
     RawRequest read() throws IOException {
-        String requestLine = line();
+        String requestLine = readLine();
         if (requestLine.isEmpty()) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        String header = line();
+        String header = readLine();
         while (!header.isEmpty()) {
             int colon = header.indexOf(':');
             headers.put(
                     header.substring(0, colon).toLowerCase(Locale.ROOT),
                     header.substring(colon + 1).strip());
-            header = line();
+            header = readLine();
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         String body = new String(in.readNBytes(length), StandardCharsets.UTF_8);
@@ -45,7 +45,7 @@
         return new RawRequest(parts[0], parts[1], headers, body);
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         int next = in.read();
         while (next >= 0 && next != '\n') {
--- a/standins/src/main/java/org/quetzalseam/standins/raw/RawServer.java
+++ b/standins/src/main/java/org/quetzalseam/standins/raw/RawServer.java
@@ -65,14 +65,14 @@
     private void accept() {
         while (!listener.isClosed()) {
             try {
-                take(listener.accept());
+                startServing(listener.accept());
             } catch (IOException expected) {
                 // The listener was closed, which ends the loop, or the caller disconnected.
             }
         }
     }
 
-    private void take(Socket socket) throws IOException {
+    private void startServing(Socket socket) throws IOException {
         RawConnection connection = new RawConnection(socket);
         if (listener.isClosed()) {
             connection.reset();
--- a/standins/src/test/java/org/quetzalseam/standins/LinkProxyTest.java
+++ b/standins/src/test/java/org/quetzalseam/standins/LinkProxyTest.java
@@ -15,7 +15,7 @@
 
 class LinkProxyTest {
     /** Time after which written bytes have been delivered or are lost. */
-    private static final Duration PASSED = Duration.ofSeconds(1);
+    private static final Duration DELIVERY_TIME = Duration.ofSeconds(1);
 
     private static final Duration LIMIT = Duration.ofSeconds(10);
 
@@ -43,12 +43,12 @@
             caller.setSoTimeout((int) LIMIT.toMillis());
             callee.getOutputStream().write('a');
             assertThat(caller.getInputStream().read()).isEqualTo('a');
-            proxy.silence(false, true);
+            proxy.dropBytes(false, true);
             callee.getOutputStream().write('b');
-            LockSupport.parkNanos(PASSED.toNanos());
-            proxy.silence(false, false);
+            LockSupport.parkNanos(DELIVERY_TIME.toNanos());
+            proxy.dropBytes(false, false);
             callee.getOutputStream().write('c');
-            caller.setSoTimeout((int) PASSED.toMillis());
+            caller.setSoTimeout((int) DELIVERY_TIME.toMillis());
             assertThatThrownBy(() -> caller.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
         }
     }
