--- a/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
+++ b/cli/src/main/java/org/quetzalseam/cli/operate/ExplainCommand.java
@@ -16,12 +16,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Tells what happened to one request. */
+/** Shows what happened to one request, as recorded by the entries or in log files. */
 @Command(
         name = "explain",
-        description =
-                "Tells what happened to a request, by the id in its X-Request-Id header: from the processes' memory,"
-                        + " or with --log from what they have logged.",
+        description = "Shows what happened to the request with the given X-Request-Id, from the records that entries"
+                + " keep in memory, or with --log from log files.",
         mixinStandardHelpOptions = true)
 public final class ExplainCommand extends PlatformCommand {
     @Parameters(paramLabel = "REQUEST", description = "The request's id.")
@@ -30,7 +29,7 @@
     @Option(
             names = "--log",
             paramLabel = "FILE",
-            description = "Read log files instead of asking the processes; may be given again.")
+            description = "Search this log file instead of querying the entries; can be repeated.")
     private List<Path> logs = List.of();
 
     @Override
@@ -43,12 +42,12 @@
         try {
             lines = LogSearch.lines(logs, request);
         } catch (IOException | UncheckedIOException e) {
-            err().println("a log can't be read: " + e.getMessage());
+            err().println("cannot read log: " + e.getMessage());
             return ExitCodes.REFUSED;
         }
         lines.forEach(out()::println);
         if (lines.isEmpty()) {
-            err().println("no line of these logs names request " + request);
+            err().println("no log line found for request " + request);
             return ExitCodes.REFUSED;
         }
         return ExitCodes.OK;
@@ -59,14 +58,14 @@
         Processes processes = new Processes();
         String path = "/explain?request=" + URLEncoder.encode(request, StandardCharsets.UTF_8);
         for (Vm vm : store.members(0, Duration.ZERO).vms()) {
-            Optional<JsonNode> notes = vm.role() == Role.ENTRY ? processes.get(vm, path) : Optional.empty();
+            Optional<JsonNode> notes = vm.role() == Role.ENTRY ? processes.fetch(vm, path) : Optional.empty();
             if (notes.isPresent()) {
                 out().println("at " + vm.name() + ":");
                 notes.get().forEach(note -> out().println("  " + note.asText()));
                 return ExitCodes.OK;
             }
         }
-        err().println("no entry that answers remembers this request; entries remember the latest 2000");
+        err().println("no reachable entry has a record of this request; entries keep the latest 2000 requests");
         return ExitCodes.REFUSED;
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/TestSite.java
+++ b/cli/src/test/java/org/quetzalseam/cli/TestSite.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.quetzalseam.cli.load.Caller;
-import org.quetzalseam.cli.load.Planned;
+import org.quetzalseam.cli.load.PlannedRequest;
 import org.quetzalseam.cli.load.Sample;
 import org.quetzalseam.cli.site.Deployment;
 import org.quetzalseam.cli.site.EndpointVm;
@@ -96,12 +96,12 @@
         return send(entry, planned("citation-notes", 50, 5), -1);
     }
 
-    private synchronized Planned planned(String kind, int promptTokens, int outputTokens) {
+    private synchronized PlannedRequest planned(String kind, int promptTokens, int outputTokens) {
         Traffic traffic = traffic(kind);
-        return new Planned(number++, 0, traffic, traffic.owners().get(0), promptTokens, outputTokens);
+        return new PlannedRequest(number++, 0, traffic, traffic.owners().get(0), promptTokens, outputTokens);
     }
 
-    private CompletableFuture<Sample> send(EntryVm entry, Planned planned, int hangUpAfter) {
+    private CompletableFuture<Sample> send(EntryVm entry, PlannedRequest planned, int hangUpAfter) {
         String url = entry.url();
         return CompletableFuture.supplyAsync(
                 () -> caller.send(planned, url, System.nanoTime(), "test", hangUpAfter), TestThreads.EXECUTOR);
@@ -157,8 +157,8 @@
     /** Returns whether no engine holds memory and no endpoint believes that one does. */
     boolean allFree() {
         boolean engines =
-                decoders().stream().allMatch(vm -> vm.backend().engine().held() == 0)
-                        && prefiller().backend().engine().prefilling() == 0;
+                decoders().stream().allMatch(vm -> vm.backend().engine().heldSequences() == 0)
+                        && prefiller().backend().engine().pendingPrefills() == 0;
         return engines
                 && decoders().stream()
                         .filter(EndpointVm::running)
@@ -176,7 +176,7 @@
                 LIMIT,
                 count + " sequences in decode memory",
                 () -> decoders().stream()
-                                .mapToInt(vm -> vm.backend().engine().held())
+                                .mapToInt(vm -> vm.backend().engine().heldSequences())
                                 .sum()
                         >= count);
     }
@@ -184,7 +184,7 @@
     /** Returns the decode endpoint whose engine holds memory. */
     EndpointVm busyDecoder() {
         return decoders().stream()
-                .filter(vm -> vm.backend().engine().held() > 0)
+                .filter(vm -> vm.backend().engine().heldSequences() > 0)
                 .findFirst()
                 .orElseThrow();
     }
--- a/core/src/main/java/org/quetzalseam/core/admission/FairQueue.java
+++ b/core/src/main/java/org/quetzalseam/core/admission/FairQueue.java
@@ -13,129 +13,137 @@
 import org.quetzalseam.core.attempt.AttemptId;
 
 /**
- * Start-time fair queueing among owners inside each class; short before long, with a bounded run of short work so that
- * long work is never starved; first in, first out within one owner and class.
+ * Schedules owners by start-time fair queueing within each class. Short work goes before long work, but only a limited
+ * number of short attempts in a row, so that long work is never starved. Attempts of one owner and class are served in
+ * order of arrival.
  */
 final class FairQueue implements WorkQueue {
-    /** After this many short attempts in a row a waiting long one goes first. */
-    static final int SHORT_RUN = 16;
+    /** Number of short attempts in a row after which a waiting long attempt goes first. */
+    static final int MAX_CONSECUTIVE_SHORT = 16;
 
-    private static final class Line {
-        final Deque<Ticket> tickets = new ArrayDeque<>();
+    /** Waiting attempts of one owner in one class. */
+    private static final class OwnerQueue {
+        final Deque<QueuedAttempt> attempts = new ArrayDeque<>();
         double virtualStart;
     }
 
-    private static final class Lane {
-        final Map<String, Line> lines = new HashMap<>();
+    /** Owner queues of one class, with the virtual time they share. */
+    private static final class ClassQueue {
+        final Map<String, OwnerQueue> ownerQueues = new HashMap<>();
         double virtualTime;
         long cost;
     }
 
-    private final Map<WorkClass, Lane> lanes = new EnumMap<>(WorkClass.class);
+    private final Map<WorkClass, ClassQueue> classQueues = new EnumMap<>(WorkClass.class);
     private final Map<String, Integer> waitingByEntry = new HashMap<>();
     private int size;
-    private int shortRun;
+    private int consecutiveShort;
 
     FairQueue() {
         for (WorkClass workClass : WorkClass.values()) {
-            lanes.put(workClass, new Lane());
+            classQueues.put(workClass, new ClassQueue());
         }
     }
 
-    private Lane lane(WorkClass workClass) {
-        Lane lane = lanes.get(workClass);
-        if (lane == null) {
-            throw new IllegalStateException("no lane for class " + workClass);
+    private ClassQueue classQueue(WorkClass workClass) {
+        ClassQueue classQueue = classQueues.get(workClass);
+        if (classQueue == null) {
+            throw new IllegalStateException("no queue for class " + workClass);
         }
-        return lane;
+        return classQueue;
     }
 
     @Override
-    public void add(Ticket ticket) {
-        Lane lane = lane(ticket.workClass());
-        Line line = lane.lines.computeIfAbsent(ticket.owner(), unused -> new Line());
-        if (line.tickets.isEmpty()) {
-            line.virtualStart = Math.max(line.virtualStart, lane.virtualTime);
+    public void add(QueuedAttempt attempt) {
+        ClassQueue classQueue = classQueue(attempt.workClass());
+        OwnerQueue ownerQueue = classQueue.ownerQueues.computeIfAbsent(attempt.owner(), unused -> new OwnerQueue());
+        if (ownerQueue.attempts.isEmpty()) {
+            ownerQueue.virtualStart = Math.max(ownerQueue.virtualStart, classQueue.virtualTime);
         }
-        line.tickets.addLast(ticket);
-        lane.cost += ticket.cost();
+        ownerQueue.attempts.addLast(attempt);
+        classQueue.cost += attempt.cost();
         size++;
-        waitingByEntry.merge(ticket.entry(), 1, Integer::sum);
+        waitingByEntry.merge(attempt.entry(), 1, Integer::sum);
     }
 
     @Override
-    public Optional<Ticket> poll(Predicate<Ticket> startable) {
-        boolean longFirst = shortRun >= SHORT_RUN;
+    public Optional<QueuedAttempt> poll(Predicate<QueuedAttempt> startable) {
+        boolean longFirst = consecutiveShort >= MAX_CONSECUTIVE_SHORT;
         WorkClass first = longFirst ? WorkClass.LONG : WorkClass.SHORT;
         WorkClass second = longFirst ? WorkClass.SHORT : WorkClass.LONG;
-        Optional<Ticket> next = pollLane(first, startable);
+        Optional<QueuedAttempt> next = pollClass(first, startable);
         if (next.isEmpty()) {
-            next = pollLane(second, startable);
+            next = pollClass(second, startable);
         }
-        next.ifPresent(ticket -> shortRun = ticket.workClass() == WorkClass.SHORT ? shortRun + 1 : 0);
+        next.ifPresent(attempt -> consecutiveShort = attempt.workClass() == WorkClass.SHORT ? consecutiveShort + 1 : 0);
         return next;
     }
 
-    private Optional<Ticket> pollLane(WorkClass workClass, Predicate<Ticket> startable) {
-        Lane lane = lane(workClass);
-        Line best = null;
-        for (Line line : lane.lines.values()) {
-            Ticket head = line.tickets.peekFirst();
-            if (head == null || !startable.test(head)) {
+    private Optional<QueuedAttempt> pollClass(WorkClass workClass, Predicate<QueuedAttempt> startable) {
+        ClassQueue classQueue = classQueue(workClass);
+        OwnerQueue best = null;
+        for (OwnerQueue ownerQueue : classQueue.ownerQueues.values()) {
+            QueuedAttempt first = ownerQueue.attempts.peekFirst();
+            if (first == null || !startable.test(first)) {
                 continue;
             }
-            if (best == null || line.virtualStart < best.virtualStart) {
-                best = line;
+            if (best == null || ownerQueue.virtualStart < best.virtualStart) {
+                best = ownerQueue;
             }
         }
         if (best == null) {
             return Optional.empty();
         }
-        Ticket ticket = best.tickets.removeFirst();
-        lane.virtualTime = Math.max(lane.virtualTime, best.virtualStart);
-        best.virtualStart += (double) ticket.cost() / ticket.weight();
-        forget(lane, ticket);
-        return Optional.of(ticket);
+        QueuedAttempt attempt = best.attempts.removeFirst();
+        classQueue.virtualTime = Math.max(classQueue.virtualTime, best.virtualStart);
+        best.virtualStart += (double) attempt.cost() / attempt.weight();
+        updateAfterRemoval(classQueue, attempt);
+        return Optional.of(attempt);
     }
 
-    private void forget(Lane lane, Ticket ticket) {
-        lane.cost -= ticket.cost();
+    /** Updates the counters, and drops owner queues that are empty and not ahead of the virtual time of their class. */
+    private void updateAfterRemoval(ClassQueue classQueue, QueuedAttempt attempt) {
+        classQueue.cost -= attempt.cost();
         size--;
-        waitingByEntry.merge(ticket.entry(), -1, FairQueue::sumOrNothing);
-        lane.lines.values().removeIf(line -> line.tickets.isEmpty() && line.virtualStart <= lane.virtualTime);
+        waitingByEntry.merge(attempt.entry(), -1, FairQueue::sumOrNullIfZero);
+        classQueue
+                .ownerQueues
+                .values()
+                .removeIf(ownerQueue ->
+                        ownerQueue.attempts.isEmpty() && ownerQueue.virtualStart <= classQueue.virtualTime);
     }
 
-    private static @Nullable Integer sumOrNothing(int count, int change) {
+    private static @Nullable Integer sumOrNullIfZero(int count, int change) {
         return count + change == 0 ? null : count + change;
     }
 
-    private List<Ticket> take(Predicate<Ticket> wanted) {
-        List<Ticket> taken = new ArrayList<>();
-        for (Lane lane : lanes.values()) {
-            List<Ticket> fromLane = new ArrayList<>();
-            for (Line line : lane.lines.values()) {
-                line.tickets.stream().filter(wanted).forEach(fromLane::add);
-                line.tickets.removeIf(wanted);
+    private List<QueuedAttempt> removeMatching(Predicate<QueuedAttempt> condition) {
+        List<QueuedAttempt> removed = new ArrayList<>();
+        for (ClassQueue classQueue : classQueues.values()) {
+            List<QueuedAttempt> fromClass = new ArrayList<>();
+            for (OwnerQueue ownerQueue : classQueue.ownerQueues.values()) {
+                ownerQueue.attempts.stream().filter(condition).forEach(fromClass::add);
+                ownerQueue.attempts.removeIf(condition);
             }
-            fromLane.forEach(ticket -> forget(lane, ticket));
-            taken.addAll(fromLane);
+            fromClass.forEach(attempt -> updateAfterRemoval(classQueue, attempt));
+            removed.addAll(fromClass);
         }
-        return taken;
+        return removed;
     }
 
     @Override
     public boolean remove(AttemptId id) {
-        return !take(ticket -> ticket.id().equals(id)).isEmpty();
+        return !removeMatching(attempt -> attempt.id().equals(id)).isEmpty();
     }
 
     @Override
-    public List<Ticket> expire(long now) {
-        return take(ticket -> ticket.waitUntil() - now < 0);
+    public List<QueuedAttempt> expire(long now) {
+        return removeMatching(attempt -> attempt.deadlineNanos() - now < 0);
     }
 
     @Override
-    public List<Ticket> drain() {
-        return take(ticket -> true);
+    public List<QueuedAttempt> drain() {
+        return removeMatching(attempt -> true);
     }
 
     @Override
@@ -145,8 +153,8 @@
 
     @Override
     public long costAhead(WorkClass workClass) {
-        long ahead = lane(WorkClass.SHORT).cost;
-        return workClass == WorkClass.SHORT ? ahead : ahead + lane(WorkClass.LONG).cost;
+        long ahead = classQueue(WorkClass.SHORT).cost;
+        return workClass == WorkClass.SHORT ? ahead : ahead + classQueue(WorkClass.LONG).cost;
     }
 
     @Override
--- a/core/src/main/java/org/quetzalseam/core/ini/IniSection.java
+++ b/core/src/main/java/org/quetzalseam/core/ini/IniSection.java
@@ -13,14 +13,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Typed access to one section. A missing or malformed value is noted as a problem of the document and replaced by the
- * default, so that one reading finds every fault. Not thread-safe.
+ * Typed access to the values of one section. A malformed value, or a missing one without a default, is added to the
+ * problems of the document and replaced by a default, so that a single pass finds all problems. Not thread-safe.
  */
 public final class IniSection {
     private final IniDocument document;
     private final String name;
     private final SubnodeConfiguration values;
-    private final Set<String> known = new TreeSet<>();
+    private final Set<String> requestedKeys = new TreeSet<>();
 
     IniSection(IniDocument document, String name, SubnodeConfiguration values) {
         this.document = document;
@@ -28,7 +28,7 @@
         this.values = values;
     }
 
-    /** Returns a section without any keys, for one that a document lacks. */
+    /** Returns an empty section in place of one that a document does not contain. */
     public static IniSection empty(IniDocument document, String name) {
         return new IniSection(document, name, new INIConfiguration().getSection(name));
     }
@@ -38,13 +38,13 @@
         return name;
     }
 
-    /** Notes a problem with one key. */
+    /** Adds a problem with one key. */
     public void report(String key, String message) {
         document.report("[" + name + "] " + key, message);
     }
 
     private @Nullable String raw(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         List<Object> all = values.getList(key, List.of());
         if (all.size() > 1) {
             report(key, "given " + all.size() + " times, expected once");
@@ -53,7 +53,7 @@
         return value.isEmpty() ? null : value;
     }
 
-    /** Returns a text, or reports that it is missing. */
+    /** Returns a text; reports a missing value and returns an empty text. */
     public String text(String key) {
         String value = raw(key);
         if (value == null) {
@@ -69,7 +69,7 @@
         return value == null ? fallback : value;
     }
 
-    /** Returns a text if there is one. */
+    /** Returns a text if the key has a value. */
     public Optional<String> optional(String key) {
         return Optional.ofNullable(raw(key));
     }
@@ -98,7 +98,7 @@
                 return number;
             }
         } catch (NumberFormatException expected) {
-            // Reported below, in the same words as a number out of bounds.
+            // Reported below with the same message as a number out of bounds.
         }
         report(key, "expected a whole number from " + min + " to " + max + ", got '" + value + "'");
         return fallback;
@@ -116,7 +116,7 @@
                 return number;
             }
         } catch (NumberFormatException expected) {
-            // Reported below, in the same words as a number that is not positive.
+            // Reported below with the same message as a number that is not positive.
         }
         report(key, "expected a number above 0, got '" + value + "'");
         return fallback;
@@ -135,7 +135,10 @@
         return value.equals("true");
     }
 
-    /** Returns one of an enumeration's constants by its lower-case name, or the default when the key is missing. */
+    /**
+     * Returns the enum constant with the given name, in lower case with hyphens, or the default when the key is
+     * missing.
+     */
     public <T extends Enum<T>> T choice(String key, T fallback) {
         String value = raw(key);
         if (value == null) {
@@ -143,42 +146,45 @@
         }
         T[] constants = fallback.getDeclaringClass().getEnumConstants();
         for (T constant : constants) {
-            if (spelled(constant).equals(value)) {
+            if (settingName(constant).equals(value)) {
                 return constant;
             }
         }
         String expected = String.join(
-                ", ", Arrays.stream(constants).map(IniSection::spelled).toList());
+                ", ", Arrays.stream(constants).map(IniSection::settingName).toList());
         report(key, "expected one of " + expected + ", got '" + value + "'");
         return fallback;
     }
 
-    private static String spelled(Enum<?> constant) {
+    private static String settingName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Reports every key that no accessor has asked for, with the nearest known name. Call it last. */
-    public void refuseUnknownKeys() {
+    /** Reports every key that no accessor has requested, with the most similar requested key. To be called last. */
+    public void reportUnknownKeys() {
         Iterator<String> keys = values.getKeys();
         while (keys.hasNext()) {
             String key = keys.next().replace("..", ".");
-            if (!known.contains(key)) {
-                report(key, "unknown key" + nearest(key, known));
+            if (!requestedKeys.contains(key)) {
+                report(key, "unknown key" + suggestNearest(key, requestedKeys));
             }
         }
     }
 
-    /** Returns a hint such as {@code ", did you mean 'class'?"} with the nearest of the known names. */
-    public static String nearest(String name, Iterable<String> names) {
-        String best = null;
-        int distance = Integer.MAX_VALUE;
+    /**
+     * Returns a hint such as {@code ", did you mean 'class'?"} with the most similar name, or an empty text without
+     * names.
+     */
+    public static String suggestNearest(String name, Iterable<String> names) {
+        String nearest = null;
+        int nearestDistance = Integer.MAX_VALUE;
         for (String candidate : names) {
-            int d = LevenshteinDistance.getDefaultInstance().apply(name, candidate);
-            if (d < distance) {
-                distance = d;
-                best = candidate;
+            int candidateDistance = LevenshteinDistance.getDefaultInstance().apply(name, candidate);
+            if (candidateDistance < nearestDistance) {
+                nearestDistance = candidateDistance;
+                nearest = candidate;
             }
         }
-        return best == null ? "" : ", did you mean '" + best + "'?";
+        return nearest == null ? "" : ", did you mean '" + nearest + "'?";
     }
 }
--- a/core/src/main/java/org/quetzalseam/core/limits/TokenBucket.java
+++ b/core/src/main/java/org/quetzalseam/core/limits/TokenBucket.java
@@ -1,19 +1,19 @@
 package org.quetzalseam.core.limits;
 
-/** A token bucket that starts full. Not thread-safe. Times are nanoseconds of one monotonic clock. */
+/** A token bucket that starts full. Not thread-safe. Times are monotonic, in nanoseconds. */
 public final class TokenBucket {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final double perSecond;
     private final double burst;
     private double tokens;
-    private long at;
+    private long refilledAt;
 
     /**
      * Creates a full bucket.
      *
-     * @param perSecond refill rate, positive
-     * @param burst size, at least 1
+     * @param perSecond refill rate in tokens per second, positive
+     * @param burst capacity in tokens, at least 1
      * @param now the current time
      */
     public TokenBucket(double perSecond, double burst, long now) {
@@ -24,10 +24,10 @@
         this.perSecond = perSecond;
         this.burst = burst;
         this.tokens = burst;
-        this.at = now;
+        this.refilledAt = now;
     }
 
-    /** Takes one token. Returns false, and takes nothing, when there is none. */
+    /** Takes one token. Returns false, and takes nothing, if there is none. */
     public boolean take(long now) {
         refill(now);
         if (tokens < 1) {
@@ -37,14 +37,14 @@
         return true;
     }
 
-    /** Returns the nanoseconds until a token will be there; 0 when one is there now. */
+    /** Returns the time until a token is available, in nanoseconds; 0 if one is available now. */
     public long nanosUntilNext(long now) {
         refill(now);
-        return tokens >= 1 ? 0 : (long) ((1 - tokens) / perSecond * NANOS);
+        return tokens >= 1 ? 0 : (long) ((1 - tokens) / perSecond * NANOS_PER_SECOND);
     }
 
     private void refill(long now) {
-        tokens = Math.min(burst, tokens + Math.max(0, now - at) / NANOS * perSecond);
-        at = now;
+        tokens = Math.min(burst, tokens + Math.max(0, now - refilledAt) / NANOS_PER_SECOND * perSecond);
+        refilledAt = now;
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/catalogue/CatalogueInForceTest.java
+++ b/core/src/test/java/org/quetzalseam/core/catalogue/CatalogueInForceTest.java
@@ -8,28 +8,28 @@
 import org.junit.jupiter.api.Test;
 
 class CatalogueInForceTest {
-    private static final Duration LONG = Duration.ofSeconds(30);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(30);
 
     private static CatalogueInForce.Accepted version(long version) {
         return new CatalogueInForce.Accepted(new Manifest(version, 0, "", Map.of()), Map.of(), Catalogue.empty());
     }
 
     @Test
-    void aCallerWhoComesBeforeTheCatalogueIsKeptUntilItIsThere() {
+    void aCallerWaitsUntilACatalogueIsInForce() {
         CatalogueInForce inForce = new CatalogueInForce();
-        CompletableFuture<Boolean> early = CompletableFuture.supplyAsync(() -> inForce.awaitFirst(LONG));
+        CompletableFuture<Boolean> early = CompletableFuture.supplyAsync(() -> inForce.awaitFirst(MAX_WAIT));
         assertThat(early).isNotDone();
         assertThat(inForce.offer(version(3))).isTrue();
         assertThat(early.join()).isTrue();
     }
 
     @Test
-    void aCallerIsNotKeptForeverWhenThereIsNoCatalogue() {
+    void theWaitForACatalogueTimesOut() {
         assertThat(new CatalogueInForce().awaitFirst(Duration.ofMillis(5))).isFalse();
     }
 
     @Test
-    void anOlderVersionIsNeverTaken() {
+    void anOlderVersionIsNeverAccepted() {
         CatalogueInForce inForce = new CatalogueInForce();
         inForce.offer(version(7));
         assertThat(inForce.offer(version(6))).isFalse();
--- a/core/src/test/java/org/quetzalseam/core/limits/LimitsTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/LimitsTest.java
@@ -9,7 +9,7 @@
 import org.quetzalseam.core.limits.EntryLimiter.Verdict;
 
 class LimitsTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     private static EntrySpec entry(int rate, int concurrency) {
         String text =
@@ -31,12 +31,12 @@
             entered += limiter.enter(entry, 2, 0) == Verdict.ENTERED ? 1 : 0;
         }
         assertThat(entered).isEqualTo(5);
-        assertThat(limiter.retryAfterNanos("e", 0)).isEqualTo(SECOND / 5);
-        assertThat(limiter.enter(entry, 2, SECOND)).isEqualTo(Verdict.ENTERED);
+        assertThat(limiter.retryAfterNanos("e", 0)).isEqualTo(SECOND_NANOS / 5);
+        assertThat(limiter.enter(entry, 2, SECOND_NANOS)).isEqualTo(Verdict.ENTERED);
     }
 
     @Test
-    void aRequestThatLeavesMakesRoomForAnother() {
+    void aRequestThatEndsFreesItsSlot() {
         EntryLimiter limiter = new EntryLimiter();
         EntrySpec entry = entry(1000, 1);
         assertThat(limiter.enter(entry, 1, 0)).isEqualTo(Verdict.ENTERED);
@@ -58,10 +58,10 @@
         RetryBudget budget = new RetryBudget(0.1);
         int retries = 0;
         for (int i = 0; i < 1000; i++) {
-            budget.request("o");
-            retries += budget.retry("o") ? 1 : 0;
+            budget.recordRequest("o");
+            retries += budget.tryRetry("o") ? 1 : 0;
         }
         assertThat(retries).isBetween(90, 110);
-        assertThat(budget.retry("other")).isTrue();
+        assertThat(budget.tryRetry("other")).isTrue();
     }
 }
--- a/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceTest.java
+++ b/core/src/test/java/org/quetzalseam/core/limits/RetryAllowanceTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.Test;
 
 class RetryAllowanceTest {
-    private static final long WINDOW = 10_000_000_000L;
+    private static final long WINDOW_NANOS = 10_000_000_000L;
     private static final double RATIO = 0.2;
     private static final double SLACK = 56;
-    private static final long LONG_AGO = -10 * WINDOW;
+    private static final long LONG_AGO = -10 * WINDOW_NANOS;
 
-    private static int taken(RetryAllowance allowance, long now) {
-        int taken = 0;
-        while (allowance.retry(now)) {
-            taken++;
+    private static int spent(RetryAllowance allowance, long now) {
+        int spent = 0;
+        while (allowance.tryRetry(now)) {
+            spent++;
         }
-        return taken;
+        return spent;
     }
 
     @Test
@@ -27,52 +27,53 @@
         int all = 0;
         int retries = 0;
         for (int share : requests) {
-            RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
-            allowance.entries(requests.length);
+            RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW_NANOS, LONG_AGO);
+            allowance.updateEntryCount(requests.length);
             entries.add(allowance);
             for (int i = 0; i < share; i++) {
-                allowance.request(1);
+                allowance.recordRequest(1);
             }
             all += share;
         }
         for (RetryAllowance allowance : entries) {
-            retries += taken(allowance, 2);
+            retries += spent(allowance, 2);
         }
         assertThat((double) retries).isLessThanOrEqualTo(RATIO * all + SLACK);
         assertThat(retries).isGreaterThan((int) (0.7 * (RATIO * all + SLACK)));
     }
 
     @Test
-    void anEntryThatDoesNotKnowTheOthersTakesASmallPartOfTheSlack() {
-        assertThat(taken(new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO), 1)).isLessThanOrEqualTo(2);
+    void anEntryThatDoesNotKnowTheEntryCountUsesASmallPartOfTheSlack() {
+        assertThat(spent(new RetryAllowance(RATIO, SLACK, WINDOW_NANOS, LONG_AGO), 1))
+                .isLessThanOrEqualTo(2);
     }
 
     @Test
-    void aCrashAtTheStartOfTrafficLeavesRetriesForThoseWhoCanGoOn() {
-        RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
-        allowance.entries(5);
+    void aCrashAtTheStartOfTrafficLeavesRetriesForRequestsThatCanGoOn() {
+        RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW_NANOS, LONG_AGO);
+        allowance.updateEntryCount(5);
         for (int i = 0; i < 5; i++) {
-            allowance.request(1);
+            allowance.recordRequest(1);
         }
-        assertThat(taken(allowance, 2)).isGreaterThanOrEqualTo(8);
+        assertThat(spent(allowance, 2)).isGreaterThanOrEqualTo(8);
     }
 
     @Test
-    void whatIsTakenComesBackAfterTheWindow() {
-        RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW, LONG_AGO);
-        allowance.entries(5);
-        int first = taken(allowance, 1);
-        assertThat(taken(allowance, WINDOW)).isZero();
-        assertThat(taken(allowance, WINDOW + 2)).isEqualTo(first);
+    void spentRetriesAreAvailableAgainAfterTheWindow() {
+        RetryAllowance allowance = new RetryAllowance(RATIO, SLACK, WINDOW_NANOS, LONG_AGO);
+        allowance.updateEntryCount(5);
+        int first = spent(allowance, 1);
+        assertThat(spent(allowance, WINDOW_NANOS)).isZero();
+        assertThat(spent(allowance, WINDOW_NANOS + 2)).isEqualTo(first);
     }
 
     @Test
     void severalRetriesAreTakenTogetherOrNotAtAll() {
         RetryAllowance few = new RetryAllowance(0, 5, 1_000, -10_000);
-        few.entries(1);
-        assertThat(few.retries(0, 3)).isTrue();
-        assertThat(few.retries(0, 2)).isFalse();
-        assertThat(few.retry(0)).isTrue();
-        assertThat(few.retry(0)).isFalse();
+        few.updateEntryCount(1);
+        assertThat(few.tryRetries(0, 3)).isTrue();
+        assertThat(few.tryRetries(0, 2)).isFalse();
+        assertThat(few.tryRetry(0)).isTrue();
+        assertThat(few.tryRetry(0)).isFalse();
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/EntryDaemon.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/EntryDaemon.java
@@ -24,19 +24,19 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 /**
- * The entry role: holds callers' connections, routes their requests, and answers each of them once. Thread-safe.
+ * Runs the entry role: holds callers' connections, routes their requests, and answers each of them once. Thread-safe.
  *
- * <p>{@link #stop} is a planned stop: readiness goes first, running requests end. {@link #abort} drops everything at
- * once, as a crash would.
+ * <p>{@link #stop} is a planned stop: the entry first reports that it is not ready, then lets requests in progress end.
+ * {@link #abort} drops everything at once, as a crash would.
  */
 public final class EntryDaemon implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int REVIEW_RANKS = 8;
+    private static final int REVIEW_RANK_COUNT = 8;
 
-    /** How often a starting entry looks whether it is prepared: a few times within a connection's opening. */
-    private static final Duration PREPARED_LOOK = Duration.ofMillis(10);
-    /** How long it waits for that: several answers of a slow store; the balancer sends no callers meanwhile. */
-    private static final Duration PREPARED_LIMIT = Duration.ofMillis(1_500);
+    /** Interval of the checks for the catalogue and the endpoints at start: a few within the time that a connection takes to open. */
+    private static final Duration READINESS_CHECK_INTERVAL = Duration.ofMillis(10);
+    /** Longest wait for them: enough for several responses of a slow store; the load balancer sends no callers meanwhile. */
+    private static final Duration READINESS_TIMEOUT = Duration.ofMillis(1_500);
 
     private final Settings settings;
     private final TimerService timers;
@@ -46,7 +46,7 @@
     private final OperatorServer operators;
     private final List<Service> watches;
 
-    /** Creates an entry with checked settings; {@link #start} starts it. */
+    /** Creates an entry with validated settings; {@link #start} starts it. */
     public EntryDaemon(Settings settings) {
         this.settings = settings;
         this.timers = new TimerService(settings.name());
@@ -59,11 +59,11 @@
         CatalogueStore catalogue = new CatalogueStore(store);
         this.watches = List.of(
                 new CatalogueWatch(catalogue, inForce, settings.name()),
-                new ProposalReview(catalogue, rank(settings.name()), settings.name()));
+                new ProposalReview(catalogue, reviewRank(settings.name()), settings.name()));
     }
 
-    private static int rank(String name) {
-        return Math.floorMod(name.hashCode(), REVIEW_RANKS);
+    private static int reviewRank(String name) {
+        return Math.floorMod(name.hashCode(), REVIEW_RANK_COUNT);
     }
 
     @Override
@@ -72,7 +72,7 @@
         router.start();
         watches.forEach(Service::start);
         operators.start();
-        awaitPrepared();
+        awaitCatalogueAndEndpoints();
         callers.start();
         logger.atInfo().log(
                 "event=started role=entry name=%s zone=%s port=%d operator_port=%d",
@@ -80,18 +80,18 @@
     }
 
     /**
-     * Waits for the catalogue and for links to all listed endpoints: a caller served before that would be told that a service
-     * or the holder of its key can't be reached. Whatever hasn't come within the limit isn't waited for any longer.
+     * Waits for the catalogue and for connections to all listed endpoints, because a caller served earlier would get the error that
+     * a service or the holder of its key cannot be reached. After {@link #READINESS_TIMEOUT} the entry starts without what is missing.
      */
-    private void awaitPrepared() {
+    private void awaitCatalogueAndEndpoints() {
         CompletableFuture<Void> prepared = new CompletableFuture<>();
-        TimerService.Subscription look = timers.every(PREPARED_LOOK, () -> {
-            if (isPrepared()) {
+        TimerService.Subscription check = timers.every(READINESS_CHECK_INTERVAL, () -> {
+            if (hasCatalogueAndEndpoints()) {
                 prepared.complete(null);
             }
         });
         try {
-            prepared.get(PREPARED_LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+            prepared.get(READINESS_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             logger.atWarning().log(
                     "event=started-unprepared catalogue_version=%d endpoints=%d connected=%d",
@@ -99,13 +99,13 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("never completed with a failure", e);
+            throw new IllegalStateException("the readiness future is never completed with a failure", e);
         } finally {
-            look.cancel();
+            check.cancel();
         }
     }
 
-    private boolean isPrepared() {
+    private boolean hasCatalogueAndEndpoints() {
         int listed = listedEndpoints();
         return inForce.version() > 0 && listed > 0 && connectedEndpoints() == listed;
     }
@@ -125,12 +125,12 @@
         return inForce.version();
     }
 
-    /** Returns how many endpoints are on the list of VMs that the entry uses. */
+    /** Returns the number of endpoints on the list of VMs that the entry uses. */
     public int listedEndpoints() {
         return router.status().endpoints().size();
     }
 
-    /** Returns how many endpoints the entry is connected to. */
+    /** Returns the number of endpoints that the entry is connected to. */
     public int connectedEndpoints() {
         return (int) router.status().endpoints().stream()
                 .filter(EntryStatus.Peer::connected)
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/CallerServer.java
@@ -22,18 +22,18 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 /**
- * The callers' HTTP interface of an entry: completions, the list of models, and plain services. Thread-safe. Each request
- * has a thread of its own until it is answered.
+ * The callers' HTTP interface of an entry: completions, the list of models, and plain services. Each request has a thread
+ * of its own until it is answered. Thread-safe.
  */
 public final class CallerServer implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int MAX_THREADS = 4_000;
-    private static final long IDLE_SECONDS = 10;
+    private static final long THREAD_IDLE_SECONDS = 10;
 
-    /** Answers one kind of request. */
+    /** Handles one kind of request. */
     @FunctionalInterface
     interface Handler {
-        /** Answers a request, or throws what the caller is to be told instead. */
+        /** Answers a request, or throws the error for the caller. */
         void handle(HttpExchange exchange, RequestId id) throws IOException;
     }
 
@@ -45,14 +45,19 @@
     private boolean closed;
     private int inFlight;
 
-    /** Creates a server on the given address, listening but not yet answering. */
+    /** Creates a server that listens on the given address, but answers only after {@link #start}. */
     public CallerServer(
             Listen listen, CatalogueInForce inForce, Metrics metrics, TimerService timers, EntryRouter router) {
         this.router = router;
         this.executor = new ThreadPoolExecutor(
-                0, MAX_THREADS, IDLE_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), Threads.named("caller"));
+                0,
+                MAX_THREADS,
+                THREAD_IDLE_SECONDS,
+                TimeUnit.SECONDS,
+                new SynchronousQueue<>(),
+                Threads.named("caller"));
         this.server = HttpServers.create(listen.host(), listen.port(), executor);
-        Admittance admittance = new Admittance(inForce, new EntryLimiter(), router, metrics);
+        RequestAdmission admittance = new RequestAdmission(inForce, new EntryLimiter(), router, metrics);
         BodyReader bodies = new BodyReader(timers);
         CompletionHandler completions = new CompletionHandler(admittance, bodies, router, metrics);
         ServiceHandler services = new ServiceHandler(admittance, bodies, router, metrics);
@@ -78,7 +83,7 @@
     }
 
     private static void noSuchPath(HttpExchange exchange, RequestId id) {
-        throw CallerException.bad(Statuses.NOT_FOUND, "no-such-path", "there is nothing at this path");
+        throw CallerException.notRetryable(Statuses.NOT_FOUND, "no-such-path", "there is nothing at this path");
     }
 
     @Override
@@ -89,7 +94,7 @@
         server.start();
     }
 
-    /** Returns the port that is listened on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return server.getAddress().getPort();
     }
@@ -104,9 +109,9 @@
     private void serve(HttpExchange exchange, Handler handler) {
         RequestId id = router.nextRequestId();
         try (ErrorReply errors = new ErrorReply(exchange, id)) {
-            if (!enter()) {
+            if (!beginRequest()) {
                 CallerException stopping =
-                        CallerException.later(Statuses.UNAVAILABLE, "stopping", "this entry is stopping", 1);
+                        CallerException.retryable(Statuses.UNAVAILABLE, "stopping", "this entry is stopping", 1);
                 boolean keyed = header(exchange, "Idempotency-Key") != null;
                 errors.send(keyed ? stopping.forKeyedRequest() : stopping);
                 return;
@@ -121,12 +126,12 @@
                 logger.atSevere().withCause(e).log("event=request-failed request=%s", id);
                 errors.internal();
             } finally {
-                leave();
+                endRequest();
             }
         }
     }
 
-    private boolean enter() {
+    private boolean beginRequest() {
         synchronized (lock) {
             if (closed) {
                 return false;
@@ -136,7 +141,7 @@
         }
     }
 
-    private void leave() {
+    private void endRequest() {
         synchronized (lock) {
             inFlight--;
             lock.notifyAll();
@@ -144,33 +149,34 @@
     }
 
     /**
-     * Stops as planned: says that it isn't ready, goes on for a while until balancers have seen it, refuses new requests
-     * as not run, and returns when the running ones have ended or the limit is reached.
+     * Drains the server for a planned stop. Reports that it is not ready, still accepts requests for {@code lameDuck} so that load
+     * balancers can notice, then refuses new requests as not run. Returns when the requests in progress have ended, at the
+     * latest after {@code limit}.
      */
     public void drain(Duration lameDuck, Duration limit) {
-        long end = System.nanoTime() + lameDuck.toNanos();
+        long deadlineNanos = System.nanoTime() + lameDuck.toNanos();
         synchronized (lock) {
             ready = false;
-            await(end, false);
+            await(deadlineNanos, false);
             closed = true;
-            end = System.nanoTime() + limit.toNanos();
-            await(end, true);
+            deadlineNanos = System.nanoTime() + limit.toNanos();
+            await(deadlineNanos, true);
             if (inFlight > 0) {
                 logger.atWarning().log("event=drain-incomplete left=%d", inFlight);
             }
         }
     }
 
-    private void await(long end, boolean untilIdle) {
-        long left = end - System.nanoTime();
-        while (left > 0 && !(untilIdle && inFlight == 0)) {
+    private void await(long deadlineNanos, boolean untilIdle) {
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        while (remainingNanos > 0 && !(untilIdle && inFlight == 0)) {
             try {
-                TimeUnit.NANOSECONDS.timedWait(lock, left);
+                TimeUnit.NANOSECONDS.timedWait(lock, remainingNanos);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             }
-            left = end - System.nanoTime();
+            remainingNanos = deadlineNanos - System.nanoTime();
         }
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/caller/StreamedAnswer.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/caller/StreamedAnswer.java
@@ -8,17 +8,17 @@
 import org.quetzalseam.daemon.entry.RequestId;
 import org.quetzalseam.daemon.entry.RunResult;
 
-/** An answer as server-sent events, ended by {@code data: [DONE]}. A comment finds out if the caller is still there. */
+/** Writes an answer as server-sent events, ended by {@code data: [DONE]}. Comments probe whether the caller is still connected. */
 final class StreamedAnswer implements CallerAnswer {
     private static final byte[] COMMENT = ": waiting\n\n".getBytes(StandardCharsets.US_ASCII);
 
-    private final BegunResponse response;
+    private final ChunkedResponse response;
     private final RequestId id;
     private final String model;
     private final AnswerFormat format;
 
     StreamedAnswer(HttpExchange exchange, RequestId id, String model, AnswerFormat format) {
-        this.response = new BegunResponse(exchange, "text/event-stream");
+        this.response = new ChunkedResponse(exchange, "text/event-stream");
         this.id = id;
         this.model = model;
         this.format = format;
@@ -26,7 +26,7 @@
 
     @Override
     public boolean admitted() {
-        return response.begin(COMMENT);
+        return response.start(COMMENT);
     }
 
     @Override
@@ -46,11 +46,11 @@
 
     @Override
     public void end(RunResult result) {
-        if (!response.begun()) {
+        if (!response.isStarted()) {
             throw CallerException.of(result);
         }
         if (result.outcome() != Outcome.ANSWERED) {
-            // Without the closing [DONE], so that no client takes the answer for a whole one.
+            // Omits the closing [DONE], so that no client takes the answer for a complete one.
             event(ErrorReply.body(CallerException.of(result), id));
             return;
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Admission.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Admission.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.core.admission.BookingPolicy;
+import org.quetzalseam.core.admission.QueuedAttempt;
 import org.quetzalseam.core.admission.SlotLedger;
-import org.quetzalseam.core.admission.Ticket;
 import org.quetzalseam.core.admission.WorkClass;
 import org.quetzalseam.core.admission.WorkQueue;
 import org.quetzalseam.core.attempt.AttemptId;
@@ -23,46 +23,48 @@
 import org.quetzalseam.wire.message.Refused;
 
 /**
- * The gate itself: takes jobs in or refuses them, queues them, gives them places, and ends them. Every job that was taken
- * in gives its place back exactly once, whether it ends, fails, is cancelled or loses its lease. Thread-safe.
+ * Admits or refuses jobs, queues them, books slots for them, and ends them. Every admitted job releases its slot
+ * exactly once, whether it ends, fails, is cancelled or loses its lease. Thread-safe.
  */
 final class Admission {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final long MIN_RETRY_MILLIS = 100;
-    private static final double SMOOTHING = 0.1;
+    private static final long MIN_RETRY_AFTER_MILLIS = 100;
+    private static final double SMOOTHING_FACTOR = 0.1;
 
     /**
-     * How jobs are admitted. Immutable.
+     * Rules by which jobs are admitted. Immutable.
      *
-     * @param queue order of waiting jobs
+     * @param queue queue of waiting jobs, which decides their order
      * @param shedding whether jobs that would wait too long are refused at once
-     * @param countRunning whether running jobs count towards the backlog, as where a place does one job at a time
-     * @param ahead how far places are booked in advance
-     * @param longWindow most long jobs that may hold a place without having started: a place that waits for its prefill
-     *     does nothing, and takes room from short work
+     * @param countRunning whether running jobs count towards the backlog, as for prefills, where a slot runs one job at
+     *     a time
+     * @param bookingPolicy how many slots are booked before they are free
+     * @param longWindow maximum number of long jobs that may hold a slot without having started, because a slot that
+     *     waits for its prefill is idle and unavailable to short work
      */
-    record Rules(WorkQueue queue, boolean shedding, boolean countRunning, BookingPolicy ahead, int longWindow) {}
+    record Rules(
+            WorkQueue queue, boolean shedding, boolean countRunning, BookingPolicy bookingPolicy, int longWindow) {}
 
     private final Rules rules;
     private final SlotLedger ledger;
     private final AttemptTable<Job> table;
-    private final Backend backend;
+    private final JobRunner runner;
     private final Object lock = new Object();
     private final Map<AttemptId, Job> waiting = new HashMap<>();
-    private final Map<AttemptId, Job> placed = new HashMap<>();
+    private final Map<AttemptId, Job> booked = new HashMap<>();
     private final Set<AttemptId> longUnstarted = new HashSet<>();
     private long runningCost;
     private double nanosPerCost;
     private double meanHoldNanos;
     private long leadMillis;
-    private boolean leaving;
-    private volatile long lastTick = System.nanoTime();
+    private boolean draining;
+    private volatile long lastTickNanos = System.nanoTime();
 
-    Admission(Rules rules, SlotLedger ledger, AttemptTable<Job> table, Backend backend) {
+    Admission(Rules rules, SlotLedger ledger, AttemptTable<Job> table, JobRunner runner) {
         this.rules = rules;
         this.ledger = ledger;
         this.table = table;
-        this.backend = backend;
+        this.runner = runner;
     }
 
     AttemptTable<Job> table() {
@@ -70,10 +72,10 @@
     }
 
     /**
-     * Takes a job in, or refuses it.
+     * Admits a job, or refuses it.
      *
      * @param job the job
-     * @param queueLength most jobs of its catalogue entry that may wait
+     * @param queueLength maximum number of waiting jobs of its catalogue entry
      * @param lead expected time between booking and use, in milliseconds
      */
     void submit(Job job, int queueLength, long lead) {
@@ -82,215 +84,222 @@
         long retryMillis;
         synchronized (lock) {
             leadMillis = lead;
-            retryMillis = retryMillis(job.ticket(), now);
-            refusal = refusal(job.ticket(), queueLength, now);
+            retryMillis = retryAfterMillis(job.queuedAttempt(), now);
+            refusal = refusal(job.queuedAttempt(), queueLength, now);
             if (refusal == null) {
                 if (!table.offer(job.id(), job, now)) {
-                    repeat(job);
+                    answerRepeated(job);
                     return;
                 }
-                rules.queue().add(job.ticket());
+                rules.queue().add(job.queuedAttempt());
                 waiting.put(job.id(), job);
             }
         }
         if (refusal != null) {
-            job.settle(new Refused(job.id(), refusal, retryMillis, load()));
+            job.complete(new Refused(job.id(), refusal, retryMillis, load()));
             return;
         }
-        pump();
+        runBookable();
     }
 
-    /** Answers an order that came a second time, or after its attempt was sealed. */
-    private void repeat(Job job) {
+    /** Answers a request that arrived a second time, or after its attempt was sealed. */
+    private void answerRepeated(Job job) {
         Job known = table.work(job.id());
         if (known == null) {
-            job.settle(new Refused(job.id(), RefusalReason.SEALED, MIN_RETRY_MILLIS, load()));
+            job.complete(new Refused(job.id(), RefusalReason.SEALED, MIN_RETRY_AFTER_MILLIS, load()));
         } else {
             known.replay(0, load());
         }
     }
 
-    private @Nullable RefusalReason refusal(Ticket ticket, int queueLength, long now) {
-        if (leaving) {
+    private @Nullable RefusalReason refusal(QueuedAttempt queued, int queueLength, long now) {
+        if (draining) {
             return RefusalReason.LEAVING;
         }
-        if (rules.queue().waiting(ticket.entry()) >= queueLength) {
+        if (rules.queue().waiting(queued.entry()) >= queueLength) {
             return RefusalReason.QUEUE_FULL;
         }
-        boolean late = backlogNanos(ticket) > ticket.waitUntil() - now;
-        return rules.shedding() && late ? RefusalReason.WAIT_TOO_LONG : null;
+        boolean tooLate = backlogNanos(queued) > queued.deadlineNanos() - now;
+        return rules.shedding() && tooLate ? RefusalReason.WAIT_TOO_LONG : null;
     }
 
-    private long retryMillis(Ticket ticket, long now) {
-        long excess = backlogNanos(ticket) - (ticket.waitUntil() - now);
-        return Math.max(MIN_RETRY_MILLIS, excess / NANOS_PER_MILLI);
+    private long retryAfterMillis(QueuedAttempt queued, long now) {
+        long excess = backlogNanos(queued) - (queued.deadlineNanos() - now);
+        return Math.max(MIN_RETRY_AFTER_MILLIS, excess / NANOS_PER_MILLI);
     }
 
-    private long backlogNanos(Ticket ticket) {
-        return backlogNanos(ticket.workClass());
+    private long backlogNanos(QueuedAttempt queued) {
+        return backlogNanos(queued.workClass());
     }
 
-    /** Returns how long work of a class that arrives now would wait. Short work doesn't wait for long work. */
+    /** Returns the expected wait of work of a class that arrives now. Short work does not wait for long work. */
     private long backlogNanos(WorkClass workClass) {
         long cost = rules.queue().costAhead(workClass);
-        if (cost == 0 && placeable(workClass, extra())) {
+        if (cost == 0 && isBookable(workClass, extraSlots())) {
             return 0;
         }
         boolean waitsForRunning = rules.countRunning() && workClass == WorkClass.LONG;
-        double nextPlace = meanHoldNanos / ledger.capacity();
-        return (long) (nextPlace + (cost + (waitsForRunning ? runningCost : 0)) * nanosPerCost / ledger.capacity());
+        double nextSlotNanos = meanHoldNanos / ledger.capacity();
+        return (long) (nextSlotNanos + (cost + (waitsForRunning ? runningCost : 0)) * nanosPerCost / ledger.capacity());
     }
 
-    private int extra() {
-        return rules.ahead().extraPlaces(ledger.capacity(), (long) (meanHoldNanos / NANOS_PER_MILLI), leadMillis);
+    private int extraSlots() {
+        return rules.bookingPolicy()
+                .extraSlots(ledger.capacity(), (long) (meanHoldNanos / NANOS_PER_MILLI), leadMillis);
     }
 
-    /** Gives places to waiting jobs for as long as there are any. */
-    private void pump() {
-        Optional<Job> next = place();
+    /** Books slots for waiting jobs and runs them, until no waiting job can be booked. */
+    private void runBookable() {
+        Optional<Job> next = bookNext();
         while (next.isPresent()) {
-            backend.run(next.get());
-            next = place();
+            runner.run(next.get());
+            next = bookNext();
         }
     }
 
-    private Optional<Job> place() {
+    private Optional<Job> bookNext() {
         synchronized (lock) {
-            int extra = extra();
-            Optional<Ticket> ticket = rules.queue().poll(candidate -> placeable(candidate.workClass(), extra));
-            if (ticket.isEmpty()) {
+            int extra = extraSlots();
+            Optional<QueuedAttempt> queued = rules.queue().poll(candidate -> isBookable(candidate.workClass(), extra));
+            if (queued.isEmpty()) {
                 return Optional.empty();
             }
-            AttemptId id = ticket.get().id();
+            AttemptId id = queued.get().id();
             Job job = waiting.remove(id);
-            if (job == null || !ledger.book(id, ticket.get().workClass(), extra)) {
-                throw new IllegalStateException("attempt " + id + " was polled but can't be placed");
+            if (job == null || !ledger.book(id, queued.get().workClass(), extra)) {
+                throw new IllegalStateException(
+                        "attempt " + id + " was polled from the queue but no slot could be booked");
             }
-            job.booked(System.nanoTime());
-            placed.put(id, job);
-            if (ticket.get().workClass() == WorkClass.LONG) {
+            job.setBookedAt(System.nanoTime());
+            booked.put(id, job);
+            if (queued.get().workClass() == WorkClass.LONG) {
                 longUnstarted.add(id);
             }
-            runningCost += ticket.get().cost();
+            runningCost += queued.get().cost();
             return Optional.of(job);
         }
     }
 
-    private boolean placeable(WorkClass workClass, int extra) {
+    private boolean isBookable(WorkClass workClass, int extra) {
         boolean inWindow = workClass == WorkClass.SHORT || longUnstarted.size() < rules.longWindow();
-        return inWindow && ledger.available(workClass, extra);
+        return inWindow && ledger.isAvailable(workClass, extra);
     }
 
-    /** Starts a placed job. Returns false when it was sealed or its lease has run out: then it must not run. */
+    /**
+     * Starts a job that holds a slot. Returns false when it was sealed or its lease has expired: then it must not run.
+     */
     boolean start(Job job) {
         if (!table.start(job.id(), System.nanoTime())) {
             return false;
         }
-        boolean opened;
+        boolean windowOpened;
         synchronized (lock) {
-            opened = longUnstarted.remove(job.id());
+            windowOpened = longUnstarted.remove(job.id());
         }
-        if (opened) {
-            pump();
+        if (windowOpened) {
+            runBookable();
         }
         return true;
     }
 
-    /** Takes back the place of a job that has ended in whatever way. Calling it again does no harm. */
-    void ended(Job job) {
+    /** Releases the slot of a job that has ended in whatever way. Further calls have no effect. */
+    void finish(Job job) {
         long now = System.nanoTime();
         table.finish(job.id(), now);
         synchronized (lock) {
             if (ledger.release(job.id())) {
-                placed.remove(job.id());
+                booked.remove(job.id());
                 longUnstarted.remove(job.id());
-                runningCost -= job.ticket().cost();
-                learn(job, now - job.bookedAt());
+                runningCost -= job.queuedAttempt().cost();
+                updateEstimates(job, now - job.bookedAtNanos());
             }
         }
-        pump();
+        runBookable();
     }
 
-    private void learn(Job job, long holdNanos) {
-        double perCost = (double) holdNanos / job.ticket().cost();
-        nanosPerCost = nanosPerCost == 0 ? perCost : nanosPerCost + SMOOTHING * (perCost - nanosPerCost);
-        meanHoldNanos = meanHoldNanos == 0 ? holdNanos : meanHoldNanos + SMOOTHING * (holdNanos - meanHoldNanos);
+    private void updateEstimates(Job job, long holdNanos) {
+        double perCost = (double) holdNanos / job.queuedAttempt().cost();
+        nanosPerCost = nanosPerCost == 0 ? perCost : nanosPerCost + SMOOTHING_FACTOR * (perCost - nanosPerCost);
+        meanHoldNanos = meanHoldNanos == 0 ? holdNanos : meanHoldNanos + SMOOTHING_FACTOR * (holdNanos - meanHoldNanos);
     }
 
-    /** Seals an attempt: one that has not started gives up its place in the queue or the memory. */
+    /** Seals an attempt: one that has not started loses its queue entry or its slot. */
     SealResult seal(AttemptId id) {
         SealResult result = table.seal(id, System.nanoTime());
         Job job = table.work(id);
         if (result == SealResult.BEFORE_START && job != null) {
-            giveUp(job, RefusalReason.SEALED);
+            refuseUnstarted(job, RefusalReason.SEALED);
         }
         return result;
     }
 
-    /** Drops an attempt wherever it stands. */
+    /** Cancels an attempt, whether it waits, holds a slot or runs. */
     void cancel(AttemptId id) {
         SealResult result = seal(id);
         Job job = table.work(id);
         if (result == SealResult.STARTED && job != null) {
-            backend.abort(job);
+            runner.abort(job);
         }
     }
 
-    private void giveUp(Job job, RefusalReason reason) {
+    private void refuseUnstarted(Job job, RefusalReason reason) {
         synchronized (lock) {
             rules.queue().remove(job.id());
             waiting.remove(job.id());
         }
-        job.settle(new Refused(job.id(), reason, MIN_RETRY_MILLIS, load()));
-        ended(job);
+        job.complete(new Refused(job.id(), reason, MIN_RETRY_AFTER_MILLIS, load()));
+        finish(job);
     }
 
-    /** Ends what has waited too long or lost its lease, and forgets what ended long ago. */
+    /**
+     * Ends jobs that have waited too long or whose lease has expired, and forgets those whose retention time is over.
+     */
     void tick() {
         long now = System.nanoTime();
-        if (now - lastTick > table.leaseNanos() / 2) {
-            // The process was paused, and heartbeats wait to be read: what they renew must not lapse before that.
+        if (now - lastTickNanos > table.leaseNanos() / 2) {
+            // The process was paused, and heartbeats are still unread: the leases that they renew must not expire
+            // first.
             table.renewAll(now);
         }
-        lastTick = now;
-        List<Job> late = new ArrayList<>();
+        lastTickNanos = now;
+        List<Job> expired = new ArrayList<>();
         synchronized (lock) {
-            for (Ticket ticket : rules.queue().expire(now)) {
-                Job job = waiting.remove(ticket.id());
+            for (QueuedAttempt queued : rules.queue().expire(now)) {
+                Job job = waiting.remove(queued.id());
                 if (job != null) {
-                    late.add(job);
+                    expired.add(job);
                 }
             }
         }
-        for (Job job : late) {
+        for (Job job : expired) {
             if (table.seal(job.id(), now) == SealResult.BEFORE_START) {
-                giveUp(job, RefusalReason.WAIT_TOO_LONG);
+                refuseUnstarted(job, RefusalReason.WAIT_TOO_LONG);
             }
         }
-        table.lapsed(now).forEach(this::lapse);
+        table.expireLeases(now).forEach(this::endAfterLease);
         table.purge(now);
-        pump();
+        runBookable();
     }
 
-    private void lapse(Job job) {
-        boolean started = job.bookedAt() != 0;
-        job.settle(new Failed(job.id(), FailureCode.CANCELLED, "the entry's lease ran out", load()));
+    private void endAfterLease(Job job) {
+        boolean started = job.bookedAtNanos() != 0;
+        job.complete(new Failed(job.id(), FailureCode.CANCELLED, "the entry's lease ran out", load()));
         if (started) {
-            backend.abort(job);
+            runner.abort(job);
         } else {
-            giveUp(job, RefusalReason.SEALED);
+            refuseUnstarted(job, RefusalReason.SEALED);
         }
     }
 
-    /** Takes no new jobs from now on and hands back those that wait, as not run. */
-    void leave() {
-        List<Ticket> unstarted;
+    /** Admits no new jobs from now on and refuses those that wait, as not run. */
+    void drain() {
+        List<QueuedAttempt> unstarted;
         List<Job> jobs = new ArrayList<>();
         synchronized (lock) {
-            leaving = true;
+            draining = true;
             unstarted = rules.queue().drain();
-            for (Ticket ticket : unstarted) {
-                Job job = waiting.remove(ticket.id());
+            for (QueuedAttempt queued : unstarted) {
+                Job job = waiting.remove(queued.id());
                 if (job != null) {
                     jobs.add(job);
                 }
@@ -298,15 +307,15 @@
         }
         for (Job job : jobs) {
             if (table.seal(job.id(), System.nanoTime()) == SealResult.BEFORE_START) {
-                giveUp(job, RefusalReason.LEAVING);
+                refuseUnstarted(job, RefusalReason.LEAVING);
             }
         }
     }
 
-    /** Returns how many jobs wait or hold a place. */
-    int live() {
+    /** Returns the number of jobs that wait or hold a slot. */
+    int jobCount() {
         synchronized (lock) {
-            return waiting.size() + placed.size();
+            return waiting.size() + booked.size();
         }
     }
 
@@ -320,7 +329,7 @@
                     backlog,
                     backlogNanos(WorkClass.SHORT) / NANOS_PER_MILLI,
                     (long) (nanosPerCost / ledger.capacity()),
-                    leaving);
+                    draining);
         }
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Job.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Job.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
-import org.quetzalseam.core.admission.Ticket;
+import org.quetzalseam.core.admission.QueuedAttempt;
 import org.quetzalseam.core.attempt.AttemptId;
 import org.quetzalseam.wire.message.AttemptMessage;
 import org.quetzalseam.wire.message.AttemptReply;
@@ -13,92 +13,92 @@
 import org.quetzalseam.wire.message.Refused;
 
 /**
- * One attempt at one endpoint, with all that has been said of it, so that it can be said again after a lost connection.
- * Thread-safe.
+ * One attempt at this endpoint, with its outputs and its last reply, so that they can be sent again after a lost
+ * connection. Thread-safe.
  */
 final class Job {
-    private final Ticket ticket;
+    private final QueuedAttempt queuedAttempt;
     private final AttemptMessage request;
     private final Sessions sessions;
     private final List<String> outputs = new ArrayList<>();
-    private @Nullable AttemptReply last;
-    private boolean settled;
-    private Consumer<Refused> refusal = refused -> {};
-    private volatile long bookedAt;
+    private @Nullable AttemptReply lastReply;
+    private boolean complete;
+    private Consumer<Refused> refusalListener = refused -> {};
+    private volatile long bookedAtNanos;
     private volatile boolean started;
 
-    Job(Ticket ticket, AttemptMessage request, Sessions sessions) {
-        this.ticket = ticket;
+    Job(QueuedAttempt queuedAttempt, AttemptMessage request, Sessions sessions) {
+        this.queuedAttempt = queuedAttempt;
         this.request = request;
         this.sessions = sessions;
     }
 
     AttemptId id() {
-        return ticket.id();
+        return queuedAttempt.id();
     }
 
-    Ticket ticket() {
-        return ticket;
+    QueuedAttempt queuedAttempt() {
+        return queuedAttempt;
     }
 
     AttemptMessage request() {
         return request;
     }
 
-    /** Returns when the job was given its place, in nanoseconds of the monotonic clock. */
-    long bookedAt() {
-        return bookedAt;
+    /** Returns when a slot was booked for the job, in nanoseconds of the monotonic clock; 0 if none has been. */
+    long bookedAtNanos() {
+        return bookedAtNanos;
     }
 
-    void booked(long now) {
-        bookedAt = now;
+    void setBookedAt(long now) {
+        bookedAtNanos = now;
     }
 
-    /** Returns whether the back end has been given the job. */
+    /** Returns whether the job has been started on the back end. */
     boolean isStarted() {
         return started;
     }
 
-    void started() {
+    void markStarted() {
         started = true;
     }
 
-    /** Calls the listener if the job ends or has ended by being refused, that is, without having run. */
+    /** Calls the listener if the job is or has been refused, that is, has ended without having run. */
     void whenRefused(Consumer<Refused> listener) {
-        Refused early = null;
+        Refused alreadyRefused = null;
         synchronized (this) {
-            refusal = listener;
-            if (last instanceof Refused refused) {
-                early = refused;
+            refusalListener = listener;
+            if (lastReply instanceof Refused refused) {
+                alreadyRefused = refused;
             }
         }
-        if (early != null) {
-            listener.accept(early);
+        if (alreadyRefused != null) {
+            listener.accept(alreadyRefused);
         }
     }
 
-    synchronized boolean isSettled() {
-        return settled;
+    synchronized boolean isComplete() {
+        return complete;
     }
 
-    /** Sends a reply that isn't the last one. */
-    synchronized void reply(AttemptReply reply) {
-        if (!settled) {
-            last = reply;
+    /** Sends a reply that is not the final one, unless the final one has been sent. */
+    synchronized void sendInterim(AttemptReply reply) {
+        if (!complete) {
+            lastReply = reply;
             sessions.send(id().entry(), reply);
         }
     }
 
-    /** Sends the last reply. Returns false, and sends nothing, when there has been one. */
-    boolean settle(AttemptReply reply) {
+    /** Sends the final reply. Returns false, and sends nothing, when one has been sent before. */
+    boolean complete(AttemptReply reply) {
         Consumer<Refused> listener;
         synchronized (this) {
-            if (settled) {
+            if (complete) {
                 return false;
             }
-            settled = true;
-            last = reply;
-            listener = refusal;
+            complete = true;
+            lastReply = reply;
+            listener = refusalListener;
             sessions.send(id().entry(), reply);
         }
         if (reply instanceof Refused refused) {
@@ -107,8 +107,8 @@
         return true;
     }
 
-    synchronized void output(String text, Load load) {
-        if (!settled) {
+    synchronized void sendOutput(String text, Load load) {
+        if (!complete) {
             sessions.send(id().entry(), new Outputs(id(), outputs.size(), List.of(text), load));
             outputs.add(text);
         }
@@ -118,13 +118,13 @@
         return outputs.size();
     }
 
-    /** Sends again what the entry may have missed: outputs from an index on, and the latest reply. */
+    /** Sends again what the entry may have missed: the outputs from index {@code next} on, and the last reply. */
     synchronized void replay(int next, Load load) {
         if (next < outputs.size()) {
             List<String> missed = List.copyOf(outputs.subList(Math.max(0, next), outputs.size()));
             sessions.send(id().entry(), new Outputs(id(), Math.max(0, next), missed, load));
         }
-        AttemptReply reply = last;
+        AttemptReply reply = lastReply;
         if (reply != null) {
             sessions.send(id().entry(), reply);
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Sessions.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/endpoint/Sessions.java
@@ -11,34 +11,34 @@
 
 /**
  * The current connection of each entry process. A newer connection of the same incarnation replaces the older one, and
- * what still arrives on the older one is not taken. Thread-safe.
+ * messages that still arrive on the older one are ignored. Thread-safe.
  */
 final class Sessions {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final Map<Long, Connection> byIncarnation = new ConcurrentHashMap<>();
-    private final Set<Connection> unheard = ConcurrentHashMap.newKeySet();
-    private volatile @Nullable Leaving notice;
+    private final Set<Connection> unacknowledged = ConcurrentHashMap.newKeySet();
+    private volatile @Nullable Leaving shutdownNotice;
 
     void opened(Connection connection) {
         long incarnation = connection.peer().incarnation();
-        Connection kept = byIncarnation.merge(incarnation, connection, (a, b) -> a.number() > b.number() ? a : b);
-        if (kept != connection) {
+        Connection current = byIncarnation.merge(incarnation, connection, (a, b) -> a.number() > b.number() ? a : b);
+        if (current != connection) {
             connection.close();
         }
-        Leaving told = notice;
-        if (told != null) {
-            tell(connection, told);
+        Leaving announced = shutdownNotice;
+        if (announced != null) {
+            sendLeaving(connection, announced);
         }
     }
 
-    /** Returns whether a message that arrived on the connection is to be taken. */
-    boolean current(Connection connection) {
+    /** Returns whether the connection is the current one of its peer, so that messages on it are to be handled. */
+    boolean isCurrent(Connection connection) {
         return byIncarnation.get(connection.peer().incarnation()) == connection;
     }
 
     void closed(Connection connection) {
-        unheard.remove(connection);
+        unacknowledged.remove(connection);
         byIncarnation.remove(connection.peer().incarnation(), connection);
     }
 
@@ -50,26 +50,29 @@
         }
     }
 
-    /** Tells every entry that this process leaves, also those whose connection opens later. */
-    void tellLeaving(Leaving leaving) {
-        notice = leaving;
-        byIncarnation.values().forEach(connection -> tell(connection, leaving));
+    /** Notifies every entry that this process is shutting down, including those whose connection opens later. */
+    void announceShutdown(Leaving leaving) {
+        shutdownNotice = leaving;
+        byIncarnation.values().forEach(connection -> sendLeaving(connection, leaving));
     }
 
-    private void tell(Connection connection, Leaving leaving) {
-        unheard.add(connection);
+    private void sendLeaving(Connection connection, Leaving leaving) {
+        unacknowledged.add(connection);
         if (!connection.send(leaving)) {
-            unheard.remove(connection);
+            unacknowledged.remove(connection);
         }
     }
 
-    /** Takes note that what an entry sends on a connection from now on it sends knowing that this process leaves. */
-    void heard(Connection connection) {
-        unheard.remove(connection);
+    /**
+     * Records that the entry on a connection has acknowledged the shutdown, so that it sends no new work on it any
+     * more.
+     */
+    void shutdownAcknowledged(Connection connection) {
+        unacknowledged.remove(connection);
     }
 
-    /** Returns whether each entry that was told has heard that this process leaves, or its connection is closed. */
-    boolean allHeard() {
-        return unheard.isEmpty();
+    /** Returns whether every notified entry has acknowledged the shutdown, or its connection is closed. */
+    boolean allAcknowledgedShutdown() {
+        return unacknowledged.isEmpty();
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/engine/HttpEngine.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/engine/HttpEngine.java
@@ -21,12 +21,13 @@
 
 /**
  * An engine over HTTP: completions in the usual JSON form with {@code request_id}, {@code priority} and
- * {@code kv_transfer_params}, streams as server-sent events, and {@code DELETE} of a request. Thread-safe.
+ * {@code kv_transfer_params}, streams as server-sent events, and cancellation by {@code DELETE} of a request.
+ * Thread-safe.
  */
 public final class HttpEngine implements Engine {
     private static final Duration PREFILL_TIMEOUT = Duration.ofSeconds(60);
     private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(2);
-    private static final int CANCEL_TRIES = 3;
+    private static final int MAX_CANCEL_ATTEMPTS = 3;
     private static final int OK = 200;
     private static final int GONE = 410;
     private static final int TOO_MANY_REQUESTS = 429;
@@ -34,14 +35,14 @@
     private static final int UNAVAILABLE = 503;
 
     private final URI completions;
-    private final String requests;
+    private final String requestsUrl;
     private final HttpClient client;
-    private final Map<String, StreamLines> streams = new ConcurrentHashMap<>();
+    private final Map<String, EventStreamParser> streams = new ConcurrentHashMap<>();
 
     /** Creates a client of the engine at a base address such as {@code http://127.0.0.1:9000}. */
     public HttpEngine(String base) {
         this.completions = URI.create(base + "/v1/completions");
-        this.requests = base + "/v1/requests/";
+        this.requestsUrl = base + "/v1/requests/";
         this.client = HttpClients.create();
     }
 
@@ -77,11 +78,11 @@
                     if (failure != null) {
                         throw failure(failure);
                     }
-                    return transfer(response);
+                    return parseTransfer(response);
                 });
     }
 
-    private static byte[] transfer(HttpResponse<byte[]> response) {
+    private static byte[] parseTransfer(HttpResponse<byte[]> response) {
         if (response.statusCode() != OK) {
             throw failure(response.statusCode());
         }
@@ -94,7 +95,7 @@
 
     @Override
     public void decode(EngineRequest request, byte[] transfer, OutputSink sink) {
-        StreamLines lines = new StreamLines(sink, () -> streams.remove(request.id()));
+        EventStreamParser parser = new EventStreamParser(sink, () -> streams.remove(request.id()));
         HttpRequest post;
         try {
             ObjectNode body = body(request);
@@ -102,25 +103,26 @@
             body.set("kv_transfer_params", Json.read(transfer));
             post = post(body);
         } catch (IOException | EngineException e) {
-            lines.fail(new EngineException(Code.NOT_RUN, "the request can't be sent: " + e.getMessage(), e));
+            parser.fail(new EngineException(Code.NOT_RUN, "the request can't be sent: " + e.getMessage(), e));
             return;
         }
-        streams.put(request.id(), lines);
-        CompletableFuture<Void> unused = client.sendAsync(post, info -> bodyOf(info, lines))
+        streams.put(request.id(), parser);
+        CompletableFuture<Void> unused = client.sendAsync(post, info -> bodyOf(info, parser))
                 .thenAccept(response -> {
                     if (response.statusCode() != OK) {
-                        lines.fail(failure(response.statusCode()));
+                        parser.fail(failure(response.statusCode()));
                     }
                 })
                 .exceptionally(failure -> {
-                    lines.fail(failure(failure));
+                    parser.fail(failure(failure));
                     return null;
                 });
     }
 
-    private static HttpResponse.BodySubscriber<Integer> bodyOf(HttpResponse.ResponseInfo info, StreamLines lines) {
+    private static HttpResponse.BodySubscriber<Integer> bodyOf(
+            HttpResponse.ResponseInfo info, EventStreamParser parser) {
         return info.statusCode() == OK
-                ? BodySubscribers.fromSubscriber(lines.asBytes(), subscriber -> OK)
+                ? BodySubscribers.fromSubscriber(parser.byteSubscriber(), subscriber -> OK)
                 : BodySubscribers.replacing(info.statusCode());
     }
 
@@ -145,20 +147,20 @@
 
     @Override
     public CompletableFuture<Void> cancel(String id) {
-        StreamLines lines = streams.remove(id);
-        if (lines != null) {
-            lines.cancel();
+        EventStreamParser parser = streams.remove(id);
+        if (parser != null) {
+            parser.cancel();
         }
-        HttpRequest delete = HttpRequest.newBuilder(URI.create(requests + id))
+        HttpRequest delete = HttpRequest.newBuilder(URI.create(requestsUrl + id))
                 .timeout(CANCEL_TIMEOUT)
                 .DELETE()
                 .build();
-        return delete(delete, CANCEL_TRIES);
+        return delete(delete, MAX_CANCEL_ATTEMPTS);
     }
 
-    private CompletableFuture<Void> delete(HttpRequest delete, int tries) {
+    private CompletableFuture<Void> delete(HttpRequest delete, int attemptsLeft) {
         return client.sendAsync(delete, BodyHandlers.discarding())
-                .handle((response, failure) -> failure == null || tries <= 1)
-                .thenCompose(done -> done ? CompletableFuture.completedFuture(null) : delete(delete, tries - 1));
+                .handle((response, failure) -> failure == null || attemptsLeft <= 1)
+                .thenCompose(done -> done ? CompletableFuture.completedFuture(null) : delete(delete, attemptsLeft - 1));
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionAttempt.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionAttempt.java
@@ -22,19 +22,19 @@
 import org.quetzalseam.wire.message.Work;
 
 /**
- * One attempt at a completion: a place in decode memory is booked, the prompt is prefilled, the KV cache is handed over,
- * the outputs are delivered. Used by one thread. {@link #run} ends with a result or with {@link AttemptEnded}.
+ * One attempt at a completion: books decode memory, prefills the prompt, transfers the KV cache and delivers the
+ * outputs. Used by one thread. {@link #run} returns a result or throws {@link AttemptEnded}.
  */
 final class CompletionAttempt {
-    private static final long PROBE_MILLIS = 250;
-    private static final long GRACE_MILLIS = 2_000;
-    private static final long PREFILL_LIMIT_MILLIS = 60_000;
-    private static final long OUTPUT_LIMIT_MILLIS = 60_000;
-    private static final int ADMITTED_QUEUE = 10_000;
-    /** What has been admitted once is not turned away again because an attempt broke: it may wait this long. */
+    private static final long PROBE_INTERVAL_MILLIS = 250;
+    private static final long REPLY_MARGIN_MILLIS = 2_000;
+    private static final long PREFILL_TIMEOUT_MILLIS = 60_000;
+    private static final long OUTPUT_TIMEOUT_MILLIS = 60_000;
+    private static final int ADMITTED_QUEUE_LENGTH = 10_000;
+    /** Wait of a request that is already admitted, so that it is not refused because an earlier attempt failed. */
     private static final long ADMITTED_WAIT_MILLIS = 60_000;
 
-    private static final int PREFILL_TRIES = 4;
+    private static final int MAX_PREFILL_ATTEMPTS = 4;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final EntryContext context;
@@ -42,8 +42,8 @@
     private final AnswerSink sink;
     private final Trace trace;
     private final AttemptId id;
-    private final Set<String> leftOut;
-    private final long requestStarted;
+    private final Set<String> excluded;
+    private final long requestStartedNanos;
     private final Inbox inbox = new Inbox();
     private @Nullable EndpointLink decoder;
     private @Nullable EndpointLink prefiller;
@@ -58,20 +58,20 @@
             Trace trace,
             AttemptId id,
             Set<String> leftOut,
-            long requestStarted,
+            long requestStartedNanos,
             boolean admitted) {
         this.context = context;
         this.request = request;
         this.sink = sink;
         this.trace = trace;
         this.id = id;
-        this.leftOut = leftOut;
-        this.requestStarted = requestStarted;
+        this.excluded = leftOut;
+        this.requestStartedNanos = requestStartedNanos;
         this.admitted = admitted;
     }
 
-    /** Returns whether any engine has begun to work on this attempt. */
-    boolean ran() {
+    /** Returns whether this attempt has been prefilled or has delivered outputs. */
+    boolean hasRun() {
         return prefilled || delivered > 0;
     }
 
@@ -79,7 +79,7 @@
         try {
             return context.settings().policy().booking() == BookingOrder.BEFORE_PREFILL ? bookFirst() : prefillFirst();
         } finally {
-            leave();
+            cancelOutstanding();
             if (prefilled) {
                 context.metrics().prefilled(request.promptTokens(), delivered == 0);
             }
@@ -100,7 +100,7 @@
         return decode(link, transfer);
     }
 
-    private void leave() {
+    private void cancelOutstanding() {
         EndpointLink booked = decoder;
         if (booked != null) {
             booked.cancel(id);
@@ -123,54 +123,55 @@
                 queueLength);
     }
 
-    /** Returns how long the request may still wait to be admitted, in milliseconds. */
-    private long waitLeft() {
+    /** Returns the time that remains for the request to be admitted, in milliseconds. */
+    private long remainingWaitMillis() {
         if (admitted) {
             return ADMITTED_WAIT_MILLIS;
         }
-        long waited = (context.timers().now() - requestStarted) / NANOS_PER_MILLI;
-        long limit = Math.min(request.entry().limits().queueWaitMillis(), request.deadlineMillis());
-        return limit - waited;
+        long waitedMillis = (context.timers().now() - requestStartedNanos) / NANOS_PER_MILLI;
+        long limitMillis = Math.min(request.entry().limits().queueWaitMillis(), request.deadlineMillis());
+        return limitMillis - waitedMillis;
     }
 
     private int queueLength() {
-        return admitted ? ADMITTED_QUEUE : request.entry().limits().queueLength();
+        return admitted ? ADMITTED_QUEUE_LENGTH : request.entry().limits().queueLength();
     }
 
-    /** Returns whether the caller has been told that the request is admitted. */
-    boolean admitted() {
+    /** Returns whether the sink has been notified that the request is admitted. */
+    boolean wasAdmitted() {
         return admitted;
     }
 
     private EndpointLink book() {
-        long wait = waitLeft();
-        if (wait <= 0) {
+        long waitMillis = remainingWaitMillis();
+        if (waitMillis <= 0) {
             throw AttemptEnded.refused("wait-too-long", "no engine memory became free in time", 1_000, Next.NONE);
         }
-        EndpointLink link = choose(request.model().decodePool(), leftOut);
-        long lead = context.fleet().expectedMillis(request.model().prefillPool(), request.promptTokens());
-        Book order = new Book(id, work(wait, queueLength()), lead);
+        EndpointLink link = choose(request.model().decodePool(), excluded);
+        long leadMillis = context.fleet().expectedPrefillMillis(request.model().prefillPool(), request.promptTokens());
+        Book order = new Book(id, work(waitMillis, queueLength()), leadMillis);
         if (!link.begin(order, inbox, request.outputTokens())) {
-            leftOut.add(link.name());
+            excluded.add(link.name());
             throw AttemptEnded.refused("endpoint-lost", "the endpoint was lost", 0, Next.RETRY_FREE);
         }
         decoder = link;
         trace.note("asked " + link.name() + " for decode memory");
-        long until = context.timers().now() + (wait + GRACE_MILLIS) * NANOS_PER_MILLI;
+        long deadlineNanos = context.timers().now() + (waitMillis + REPLY_MARGIN_MILLIS) * NANOS_PER_MILLI;
         while (true) {
-            Event event = await(until, "wait-too-long");
+            AttemptEvent event = await(deadlineNanos, "wait-too-long");
             if (event.link() == link && event.reply() instanceof Booked) {
                 trace.note("booked at " + link.name());
                 return link;
             }
-            endIfOver(event, link);
+            throwIfEnded(event, link);
         }
     }
 
-    private EndpointLink choose(String pool, Set<String> without) {
-        long patience = Math.min(context.settings().timing().lease().toMillis(), Math.max(0, waitLeft()));
+    private EndpointLink choose(String pool, Set<String> excludedNames) {
+        long maxWaitMillis =
+                Math.min(context.settings().timing().lease().toMillis(), Math.max(0, remainingWaitMillis()));
         return context.fleet()
-                .chooseWithin(patience, request.entry().workClass(), pool, request.affinity(), without)
+                .chooseWithin(maxWaitMillis, request.entry().workClass(), pool, request.affinity(), excludedNames)
                 .orElseThrow(() -> AttemptEnded.refused(
                         "no-endpoint", "no endpoint of pool " + pool + " takes work", 1_000, Next.NONE));
     }
@@ -179,56 +180,56 @@
         if (!admitted) {
             admitted = true;
             if (!sink.admitted()) {
-                throw callerGone();
+                throw callerDisconnected();
             }
         }
     }
 
-    private AttemptEnded callerGone() {
-        return AttemptEnded.last(Outcome.INCOMPLETE, "caller-gone", "the caller is gone", true, delivered);
+    private AttemptEnded callerDisconnected() {
+        return AttemptEnded.terminal(Outcome.INCOMPLETE, "caller-gone", "the caller is gone", true, delivered);
     }
 
-    /** Waits for the next event, and meanwhile finds out if the caller has gone. */
-    private Event await(long until, String timeoutCode) {
+    /** Waits for the next event, and checks meanwhile whether the caller is still connected. */
+    private AttemptEvent await(long deadlineNanos, String timeoutCode) {
         while (true) {
-            long left = (until - context.timers().now()) / NANOS_PER_MILLI;
-            if (left <= 0) {
+            long leftMillis = (deadlineNanos - context.timers().now()) / NANOS_PER_MILLI;
+            if (leftMillis <= 0) {
                 throw timeout(timeoutCode);
             }
-            Event event = inbox.poll(Math.min(PROBE_MILLIS, left));
+            AttemptEvent event = inbox.poll(Math.min(PROBE_INTERVAL_MILLIS, leftMillis));
             if (event != null) {
                 return event;
             }
             if (Thread.currentThread().isInterrupted() || (admitted && !sink.probe())) {
-                throw callerGone();
+                throw callerDisconnected();
             }
         }
     }
 
     private AttemptEnded timeout(String code) {
         if (prefilled || delivered > 0) {
-            return AttemptEnded.last(Outcome.INCOMPLETE, code, "the engine did not go on in time", true, delivered);
+            return AttemptEnded.terminal(Outcome.INCOMPLETE, code, "the engine did not go on in time", true, delivered);
         }
         return AttemptEnded.refused(code, "no engine memory became free in time", 1_000, Next.NONE);
     }
 
-    /** Ends the attempt if an event of the decode endpoint means that it can't go on. */
-    private void endIfOver(Event event, EndpointLink link) {
+    /** Throws if an event of the decode endpoint means that the attempt cannot continue. */
+    private void throwIfEnded(AttemptEvent event, EndpointLink link) {
         if (event.link() != link) {
             return;
         }
         if (event.reply() instanceof Refused refused) {
-            link.end(id);
+            link.forget(id);
             throw refusal(link, refused);
         }
         if (event.reply() instanceof Failed failed) {
-            link.end(id);
-            link.failed();
-            throw broken(failed.code().label(), failed.reason());
+            link.forget(id);
+            link.recordFailure();
+            throw failure(failed.code().label(), failed.reason());
         }
-        if (event.reply() instanceof Event.Lost) {
-            leftOut.add(link.name());
-            throw broken("endpoint-lost", "the endpoint was lost");
+        if (event.reply() instanceof AttemptEvent.Lost) {
+            excluded.add(link.name());
+            throw failure("endpoint-lost", "the endpoint was lost");
         }
     }
 
@@ -239,27 +240,27 @@
             case QUEUE_FULL, WAIT_TOO_LONG ->
                 AttemptEnded.refused(code, message, refused.retryAfterMillis(), Next.NONE);
             case LEAVING, SEALED -> {
-                leftOut.add(link.name());
+                excluded.add(link.name());
                 yield AttemptEnded.refused(code, message, refused.retryAfterMillis(), Next.RETRY_FREE);
             }
             default -> {
-                leftOut.add(link.name());
-                link.failed();
+                excluded.add(link.name());
+                link.recordFailure();
                 yield AttemptEnded.refused(code, message, refused.retryAfterMillis(), Next.RETRY);
             }
         };
     }
 
-    private AttemptEnded broken(String code, String message) {
+    private AttemptEnded failure(String code, String message) {
         if (delivered > 0) {
-            return AttemptEnded.last(Outcome.INCOMPLETE, code, message, true, delivered);
+            return AttemptEnded.terminal(Outcome.INCOMPLETE, code, message, true, delivered);
         }
         return new AttemptEnded(RunResult.ended(Outcome.INCOMPLETE, code, message, true, 0), Next.RETRY);
     }
 
     private byte[] prefill() {
         Set<String> tried = new HashSet<>();
-        for (int i = 0; i < PREFILL_TRIES; i++) {
+        for (int i = 0; i < MAX_PREFILL_ATTEMPTS; i++) {
             Optional<EndpointLink> choice = tried.isEmpty()
                     ? Optional.of(choose(request.model().prefillPool(), tried))
                     : context.fleet()
@@ -273,7 +274,7 @@
             }
             EndpointLink link = choice.get();
             tried.add(link.name());
-            Work work = work(PREFILL_LIMIT_MILLIS, ADMITTED_QUEUE);
+            Work work = work(PREFILL_TIMEOUT_MILLIS, ADMITTED_QUEUE_LENGTH);
             if (!link.begin(new Prefill(id, work, request.body()), inbox, request.promptTokens())) {
                 continue;
             }
@@ -284,25 +285,25 @@
                 return transfer.get();
             }
         }
-        throw broken("prefill-failed", "no endpoint could prefill the prompt");
+        throw failure("prefill-failed", "no endpoint could prefill the prompt");
     }
 
-    /** Waits for a prefill to end. Returns nothing when it has to be tried elsewhere. */
+    /** Waits for a prefill to end. Returns empty when another endpoint must be tried. */
     private Optional<byte[]> awaitPrefill(EndpointLink link) {
-        long until = context.timers().now() + PREFILL_LIMIT_MILLIS * NANOS_PER_MILLI;
+        long deadlineNanos = context.timers().now() + PREFILL_TIMEOUT_MILLIS * NANOS_PER_MILLI;
         while (true) {
-            Event event = await(until, "prefill-timeout");
+            AttemptEvent event = await(deadlineNanos, "prefill-timeout");
             if (event.link() == link && event.reply() instanceof Prefilled done) {
-                link.end(id);
-                link.succeeded();
+                link.forget(id);
+                link.recordSuccess();
                 prefilled = true;
                 trace.note("prefilled at " + link.name());
                 return Optional.of(done.transfer());
             }
             if (event.link() == link) {
-                link.end(id);
+                link.forget(id);
                 if (event.reply() instanceof Failed) {
-                    link.failed();
+                    link.recordFailure();
                 }
                 trace.note("prefill ended at " + link.name() + ": "
                         + event.reply().getClass().getSimpleName());
@@ -310,7 +311,7 @@
             }
             EndpointLink booked = decoder;
             if (booked != null) {
-                endIfOver(event, booked);
+                throwIfEnded(event, booked);
             }
         }
     }
@@ -321,30 +322,30 @@
             trace.note("the order to " + link.name() + " waits for its connection");
         }
         while (true) {
-            long until = context.timers().now() + OUTPUT_LIMIT_MILLIS * NANOS_PER_MILLI;
-            Event event = await(until, "output-timeout");
+            long deadlineNanos = context.timers().now() + OUTPUT_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+            AttemptEvent event = await(deadlineNanos, "output-timeout");
             if (event.link() != link) {
                 continue;
             }
             if (event.reply() instanceof Outputs outputs) {
                 deliver(link, outputs);
             } else if (event.reply() instanceof Finished finished && finished.count() == delivered) {
-                link.end(id);
-                link.succeeded();
+                link.forget(id);
+                link.recordSuccess();
                 trace.note("finished after " + delivered + " outputs");
                 return RunResult.answered(finished.reason(), delivered);
             } else if (event.reply() instanceof Finished) {
                 link.send(new Resume(id, delivered));
             } else if (event.reply() instanceof Booked) {
-                // Said again after a lost connection, which may have swallowed the order.
+                // Sent again after a lost connection, with which the decode order may have been lost.
                 link.send(order);
             } else {
-                endIfOver(event, link);
+                throwIfEnded(event, link);
             }
         }
     }
 
-    /** Delivers the outputs that have not been delivered yet; a gap is asked for again. */
+    /** Delivers the outputs that are not delivered yet; requests missing ones again when there is a gap. */
     private void deliver(EndpointLink link, Outputs outputs) {
         if (outputs.first() > delivered) {
             link.send(new Resume(id, delivered));
@@ -352,10 +353,10 @@
         }
         for (int i = delivered - outputs.first(); i < outputs.texts().size(); i++) {
             if (!sink.output(outputs.texts().get(i))) {
-                throw callerGone();
+                throw callerDisconnected();
             }
             delivered++;
-            inbox.delivered(delivered);
+            inbox.setNextOutput(delivered);
         }
     }
 }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/CompletionRun.java
@@ -8,10 +8,10 @@
 import org.quetzalseam.daemon.entry.TraceLog.Trace;
 
 /**
- * Carries out one request for a completion, in as many attempts as are needed and allowed. Used by one thread.
+ * Runs one completion request, with as many attempts as are needed and allowed. Used by one thread.
  *
- * <p>A completion may be generated again as long as no output has been delivered; afterwards it is resumed where it
- * broke off, or reported as incomplete.
+ * <p>A completion may be generated again as long as no output has been delivered; afterwards it is resumed at the next
+ * output, or reported as incomplete.
  */
 final class CompletionRun {
     private static final int MAX_ATTEMPTS = 5;
@@ -20,7 +20,7 @@
     private final CompletionRequest request;
     private final AnswerSink sink;
     private final Trace trace;
-    private final Set<String> leftOut = new HashSet<>();
+    private final Set<String> excluded = new HashSet<>();
 
     CompletionRun(EntryContext context, CompletionRequest request, AnswerSink sink, Trace trace) {
         this.context = context;
@@ -30,42 +30,42 @@
     }
 
     RunResult run() {
-        long started = context.timers().now();
+        long startedNanos = context.timers().now();
         AttemptId id = request.requestId().firstAttempt();
         boolean ran = false;
         boolean admitted = false;
         while (true) {
             CompletionAttempt attempt =
-                    new CompletionAttempt(context, request, sink, trace, id, leftOut, started, admitted);
+                    new CompletionAttempt(context, request, sink, trace, id, excluded, startedNanos, admitted);
             try {
                 return attempt.run();
             } catch (AttemptEnded ended) {
-                ran |= attempt.ran();
-                admitted |= attempt.admitted();
+                ran |= attempt.hasRun();
+                admitted |= attempt.wasAdmitted();
                 trace.note(
                         "attempt " + id.number() + " ended: " + ended.result().code());
-                if (!another(ended, id)) {
-                    return report(ended.result(), ran);
+                if (!mayRetry(ended, id)) {
+                    return finalResult(ended.result(), ran);
                 }
             }
             id = id.next();
         }
     }
 
-    private boolean another(AttemptEnded ended, AttemptId id) {
+    private boolean mayRetry(AttemptEnded ended, AttemptId id) {
         if (ended.next() == Next.NONE || id.number() >= MAX_ATTEMPTS) {
             return false;
         }
         boolean allowed = ended.next() == Next.RETRY_FREE
-                || context.retries().retry(request.entry().owner());
+                || context.retries().tryRetry(request.entry().owner());
         if (allowed) {
             context.metrics().retry(ended.result().code());
         }
         return allowed;
     }
 
-    /** Says of a request only that it was not run when no attempt at it was. */
-    private static RunResult report(RunResult last, boolean ran) {
+    /** Returns the final result: a request counts as not run only if none of its attempts has run. */
+    private static RunResult finalResult(RunResult last, boolean ran) {
         if (last.outcome() != Outcome.NOT_RUN || !ran) {
             return last;
         }
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/EntryRouter.java
@@ -8,7 +8,7 @@
 import org.quetzalseam.core.catalogue.CatalogueInForce;
 import org.quetzalseam.core.limits.RetryBudget;
 import org.quetzalseam.core.placement.Placement;
-import org.quetzalseam.daemon.ProcessKeys;
+import org.quetzalseam.daemon.ProcessSecurity;
 import org.quetzalseam.daemon.operator.Metrics;
 import org.quetzalseam.daemon.platform.ObjectStore;
 import org.quetzalseam.daemon.settings.Settings;
@@ -19,7 +19,8 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 /**
- * Routes requests at one entry: knows the endpoints, places attempts, and says how each request ended. Thread-safe.
+ * Routes the requests of one entry: tracks the endpoints, places attempts and returns the result of each request.
+ * Thread-safe.
  *
  * <p>Example: {@code router.run(request, sink).outcome()}.
  */
@@ -41,9 +42,9 @@
      * Creates a router.
      *
      * @param settings the process's settings
-     * @param inForce the catalogue in force, which peers may renew
-     * @param store the platform's store, for the list of VMs
-     * @param metrics what is measured
+     * @param inForce the catalogue in force, which peers may update
+     * @param store the platform's store, from which the list of VMs is read
+     * @param metrics the metrics
      * @param timers the timer service
      */
     public EntryRouter(
@@ -55,13 +56,13 @@
         this.site = new SiteSync(inForce, fleet);
         LinkContext links = new LinkContext(
                 self,
-                ProcessKeys.siteKey(settings.security()),
-                ProcessKeys.transport(settings.security()),
+                ProcessSecurity.siteKey(settings.security()),
+                ProcessSecurity.transport(settings.security()),
                 timers,
                 settings.timing(),
                 site,
-                pool -> fleet.history(pool).touched(timers.now()));
-        this.fleet.connect(links);
+                pool -> fleet.history(pool).recordChange(timers.now()));
+        this.fleet.setLinkContext(links);
         this.members = new MemberWatch(store, site, settings.name());
         this.context =
                 new EntryContext(settings, fleet, site, members, new RetryBudget(RETRY_RATIO), metrics, traces, timers);
@@ -91,27 +92,27 @@
     }
 
     /** Returns the number of entry processes that share the site's limits. */
-    public int entries() {
-        return fleet.entries();
+    public int entryCount() {
+        return fleet.entryCount();
     }
 
-    /** Runs a completion and returns how it ended. Blocks until then; outputs go to the sink meanwhile. */
+    /** Runs a completion and returns its result. Blocks until it ends; outputs go to the sink meanwhile. */
     public RunResult run(CompletionRequest request, AnswerSink sink) {
-        context.retries().request(request.entry().owner());
+        context.retries().recordRequest(request.entry().owner());
         TraceLog.Trace trace = traces.begin(request.requestId().toString());
         trace.note("entry " + request.entry().name() + ", " + request.promptTokens() + " prompt tokens");
         return new CompletionRun(context, request, sink, trace).run();
     }
 
-    /** Runs a call of a plain service and returns how it ended. Blocks until then. */
+    /** Runs a call of a plain service and returns its result. Blocks until it ends. */
     public ServiceResult run(ServiceRequest request) {
-        context.retries().request(request.entry().owner());
+        context.retries().recordRequest(request.entry().owner());
         TraceLog.Trace trace = traces.begin(request.requestId().toString());
         trace.note("entry " + request.entry().name());
         return new ServiceRun(context, request, trace).run();
     }
 
-    /** Returns what happened to a request, if it is still remembered. */
+    /** Returns the trace of a request, or empty if it is no longer kept. */
     public Optional<List<String>> explain(String requestId) {
         return traces.notes(requestId);
     }
@@ -133,14 +134,14 @@
     }
 
     private EntryStatus.Peer peer(Vm vm) {
-        Optional<EndpointLink> link = fleet.pool(vm.pool()).stream()
+        Optional<EndpointLink> link = fleet.linksToPool(vm.pool()).stream()
                 .filter(candidate -> candidate.name().equals(vm.name()))
                 .findFirst();
         return new EntryStatus.Peer(
                 vm.name(),
                 vm.pool(),
                 link.map(EndpointLink::connected).orElse(false),
-                link.map(EndpointLink::isLeaving).orElse(vm.leaving()));
+                link.map(EndpointLink::isDraining).orElse(vm.leaving()));
     }
 
     @Override
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/Fleet.java
@@ -23,16 +23,19 @@
 import org.quetzalseam.wire.runtime.Service;
 
 /**
- * The endpoints that one entry is linked to, by pool. Of a large pool the entry links to a subset only, chosen by
+ * The endpoints that one entry is linked to, by pool. The entry links only to a subset of a large pool, chosen by
  * rendezvous hashing, so that the number of connections stays bounded. Thread-safe.
  */
 final class Fleet implements Service, SiteSync.MembersListener {
-    /** Most endpoints of one pool that an entry links to. */
+    /** Maximum number of endpoints of one pool that an entry links to. */
     static final int LINKS_PER_POOL = 32;
 
-    private static final long RETURN_POLL_MILLIS = 20;
-    /** How long after a return of the store from an older copy nobody counts as off the list: who is there is listed again within two seconds. */
-    private static final Duration LISTED_AGAIN = Duration.ofMillis(2_500);
+    private static final long USABLE_POLL_MILLIS = 20;
+    /**
+     * Time after a restore of the store from an older copy during which no VM counts as removed from the list: running
+     * processes are listed again within two seconds.
+     */
+    private static final Duration RELISTING_WAIT = Duration.ofMillis(2_500);
 
     private final String self;
     private final String zone;
@@ -41,10 +44,10 @@
     private final Map<String, PoolHistory> pools = new HashMap<>();
     private @Nullable LinkContext context;
     private MemberList newest = new MemberList(0, List.of());
-    /** Who was listed when the store came back; empty when that is long past. */
-    private List<Vm> before = List.of();
+    /** The VMs listed before the store was restored; empty once {@link #RELISTING_WAIT} has passed. */
+    private List<Vm> listedBeforeRestore = List.of();
 
-    private int entries = 1;
+    private int entryCount = 1;
     private boolean stopped;
 
     Fleet(String self, String zone, Placement placement) {
@@ -53,14 +56,14 @@
         this.placement = placement;
     }
 
-    /** Gives the fleet what its links share. To be called once, before the first list of VMs arrives. */
-    synchronized void connect(LinkContext shared) {
+    /** Sets what the links share. To be called once, before the first list of VMs arrives. */
+    synchronized void setLinkContext(LinkContext shared) {
         context = shared;
     }
 
     @Override
     public void start() {
-        // Links are started as the list of VMs names them.
+        // Links are started when the list of VMs names their endpoints.
     }
 
     @Override
@@ -68,8 +71,8 @@
         LinkContext shared = context;
         if (shared != null && era(members) > era(newest) && !newest.vms().isEmpty()) {
             long era = era(members);
-            before = listed();
-            shared.timers().after(LISTED_AGAIN, () -> forgetBefore(era));
+            listedBeforeRestore = listed();
+            shared.timers().after(RELISTING_WAIT, () -> forgetListBeforeRestore(era));
         }
         newest = members;
         apply();
@@ -79,17 +82,17 @@
         return StorePosition.ofNumber(members.version()).era();
     }
 
-    private synchronized void forgetBefore(long era) {
+    private synchronized void forgetListBeforeRestore(long era) {
         if (era == era(newest)) {
-            before = List.of();
+            listedBeforeRestore = List.of();
             apply();
         }
     }
 
-    /** Returns the newest list, with those who were on it when the store came back. */
+    /** Returns the VMs of the newest list, and for a while those listed before the store was restored. */
     synchronized List<Vm> listed() {
         Map<String, Vm> vms = new LinkedHashMap<>();
-        before.forEach(vm -> vms.put(vm.name(), vm));
+        listedBeforeRestore.forEach(vm -> vms.put(vm.name(), vm));
         newest.vms().forEach(vm -> vms.put(vm.name(), vm));
         return List.copyOf(vms.values());
     }
@@ -100,7 +103,7 @@
             return;
         }
         List<Vm> vms = listed();
-        long now = shared.timers().now();
+        long nowNanos = shared.timers().now();
         Map<String, Vm> wanted = new HashMap<>();
         Map<String, List<Vm>> byPool = new HashMap<>();
         for (Vm vm : vms) {
@@ -110,11 +113,11 @@
         }
         byPool.forEach((pool, ofPool) -> {
             subset(ofPool).forEach(vm -> wanted.put(vm.name(), vm));
-            pools.computeIfAbsent(pool, unused -> new PoolHistory()).update(ofPool, now);
+            pools.computeIfAbsent(pool, unused -> new PoolHistory()).update(ofPool, nowNanos);
         });
-        drop(wanted, now);
+        dropUnwanted(wanted, nowNanos);
         wanted.values().forEach(vm -> link(vm, shared));
-        entries = (int) vms.stream()
+        entryCount = (int) vms.stream()
                 .filter(vm -> vm.role() == Role.ENTRY && !vm.leaving())
                 .count();
     }
@@ -125,17 +128,17 @@
         return vms.stream().filter(vm -> chosen.contains(vm.name())).toList();
     }
 
-    private void drop(Map<String, Vm> wanted, long now) {
-        List<String> gone = links.values().stream()
+    private void dropUnwanted(Map<String, Vm> wanted, long nowNanos) {
+        List<String> unwanted = links.values().stream()
                 .filter(link -> !sameAddress(link.vm(), wanted.get(link.name())))
                 .map(EndpointLink::name)
                 .toList();
-        for (String name : gone) {
+        for (String name : unwanted) {
             EndpointLink link = links.remove(name);
             if (link != null) {
                 PoolHistory history = pools.get(link.vm().pool());
                 if (history != null) {
-                    history.departed(link, now);
+                    history.recordRemoval(link, nowNanos);
                 }
                 link.stop();
             }
@@ -152,7 +155,7 @@
     private void link(Vm vm, LinkContext shared) {
         EndpointLink known = links.get(vm.name());
         if (known != null) {
-            known.listed(vm.leaving());
+            known.setListedLeaving(vm.leaving());
             return;
         }
         EndpointLink link = new EndpointLink(vm, shared);
@@ -161,12 +164,12 @@
     }
 
     /** Returns the number of entry processes that share the site's limits. */
-    synchronized int entries() {
-        return Math.max(1, entries);
+    synchronized int entryCount() {
+        return Math.max(1, entryCount);
     }
 
     /** Returns the links to a pool, in the order of their names. */
-    synchronized List<EndpointLink> pool(String pool) {
+    synchronized List<EndpointLink> linksToPool(String pool) {
         return links.values().stream()
                 .filter(link -> link.vm().pool().equals(pool))
                 .sorted(Comparator.comparing(EndpointLink::name))
@@ -174,20 +177,20 @@
     }
 
     /** Returns whether the entry is linked to every listed endpoint of a pool. */
-    synchronized boolean linksWholePool(String pool) {
-        return history(pool).listed() <= LINKS_PER_POOL;
+    synchronized boolean isLinkedToWholePool(String pool) {
+        return history(pool).listedCount() <= LINKS_PER_POOL;
     }
 
-    /** Returns what is known of a pool's past members. */
+    /** Returns the history of a pool's members. */
     synchronized PoolHistory history(String pool) {
         return pools.computeIfAbsent(pool, unused -> new PoolHistory());
     }
 
-    /** Chooses an endpoint of a pool that takes new work, leaving some out. */
-    Optional<EndpointLink> choose(WorkClass workClass, String pool, long affinity, Set<String> leftOut) {
-        List<EndpointLink> usable = pool(pool).stream()
-                .filter(EndpointLink::usable)
-                .filter(link -> !leftOut.contains(link.name()))
+    /** Chooses an endpoint of a pool that accepts new work and is not excluded. */
+    Optional<EndpointLink> choose(WorkClass workClass, String pool, long affinity, Set<String> excluded) {
+        List<EndpointLink> usable = linksToPool(pool).stream()
+                .filter(EndpointLink::isUsable)
+                .filter(link -> !excluded.contains(link.name()))
                 .toList();
         if (usable.isEmpty()) {
             return Optional.empty();
@@ -198,34 +201,34 @@
     }
 
     /**
-     * Chooses an endpoint as {@link #choose} does. When none is usable, waits for one to come back, such as after a cut
-     * connection.
+     * Chooses an endpoint as {@link #choose} does, and an excluded one when no other is usable. When none is usable at
+     * all, waits for one, such as after a lost connection, for at most {@code maxWaitMillis}.
      */
     Optional<EndpointLink> chooseWithin(
-            long millis, WorkClass workClass, String pool, long affinity, Set<String> leftOut) {
-        long end = System.nanoTime() + Duration.ofMillis(millis).toNanos();
+            long maxWaitMillis, WorkClass workClass, String pool, long affinity, Set<String> excluded) {
+        long endNanos = System.nanoTime() + Duration.ofMillis(maxWaitMillis).toNanos();
         while (true) {
             Optional<EndpointLink> link =
-                    choose(workClass, pool, affinity, leftOut).or(() -> choose(workClass, pool, affinity, Set.of()));
+                    choose(workClass, pool, affinity, excluded).or(() -> choose(workClass, pool, affinity, Set.of()));
             if (link.isPresent()
-                    || System.nanoTime() - end >= 0
+                    || System.nanoTime() - endNanos >= 0
                     || Thread.currentThread().isInterrupted()) {
                 return link;
             }
-            LockSupport.parkNanos(Duration.ofMillis(RETURN_POLL_MILLIS).toNanos());
+            LockSupport.parkNanos(Duration.ofMillis(USABLE_POLL_MILLIS).toNanos());
         }
     }
 
-    /** Returns the milliseconds that a prompt is expected to take in a pool, from waiting to the end of its prefill. */
-    long expectedMillis(String pool, int promptTokens) {
-        return pool(pool).stream()
-                .filter(EndpointLink::usable)
+    /** Predicts the milliseconds that a prompt takes in a pool, from its queueing to the end of its prefill. */
+    long expectedPrefillMillis(String pool, int promptTokens) {
+        return linksToPool(pool).stream()
+                .filter(EndpointLink::isUsable)
                 .mapToLong(link -> {
                     Load load = link.load();
-                    long own = promptTokens
+                    long ownMillis = promptTokens
                             * load.nanosPerCost()
                             / Duration.ofMillis(1).toNanos();
-                    return load.backlogMillis() + own;
+                    return load.backlogMillis() + ownMillis;
                 })
                 .min()
                 .orElse(0);
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/KeyInquiry.java
@@ -13,59 +13,59 @@
 import java.util.stream.Collectors;
 import org.jspecify.annotations.Nullable;
 import org.quetzalseam.core.attempt.AttemptId;
-import org.quetzalseam.daemon.entry.EndpointLink.Reach;
+import org.quetzalseam.daemon.entry.EndpointLink.Reachability;
 import org.quetzalseam.wire.message.FenceKey;
 import org.quetzalseam.wire.message.KeyFenced;
 
 /**
- * Finds out whether any endpoint other than its holder has seen a key, and bars the key from all that have not. Used by
- * one thread.
+ * Determines whether any endpoint other than its holder has seen an idempotency key, and fences the key at all that
+ * have not. Used by one thread.
  *
- * <p>Endpoints that have left are not asked: those that left as planned have said which keys they had seen; of those that
- * crashed nothing is known.
+ * <p>Endpoints that were removed are not asked: those that shut down as planned have reported which keys they had
+ * seen; of those that crashed nothing is known.
  */
 final class KeyInquiry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** How long a link without a connection is waited for at least: tens of handshakes in one region. */
+    /** Minimum wait for a link that has no connection: the time of tens of handshakes within one region. */
     private static final Duration CONNECTION_WAIT = Duration.ofMillis(500);
 
-    /** How often connections that a question is on are looked at. */
-    private static final Duration CLOSED_LOOK = Duration.ofMillis(10);
+    /** Interval at which connections with an unanswered question are checked. */
+    private static final Duration DISCONNECT_POLL_INTERVAL = Duration.ofMillis(10);
 
-    private static final int MAX_TRIES = 3;
+    private static final int MAX_SEND_ATTEMPTS = 3;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** What is known of the key. */
+    /** What the inquiry found out about the key. */
     enum Answer {
-        /** Nobody has seen it, and nobody else will take it. */
+        /** No other endpoint has seen it, and none will accept it any more. */
         NEVER_SEEN,
         /** Another endpoint has seen it. */
         SEEN,
-        /** Somebody who may have seen it can't be asked. */
+        /** An endpoint that may have seen it cannot be asked. */
         UNKNOWN
     }
 
-    /** Why an inquiry can't tell. */
-    private enum Doubt {
+    /** Why the answer of an inquiry is unknown. The names of the constants are written to the log. */
+    private enum UnknownReason {
         /** The newest list of VMs could not be read. */
         LIST_UNREADABLE,
-        /** The pool is larger than what the entry is linked to. */
+        /** The entry is linked to a part of the pool only. */
         POOL_NOT_LINKED,
-        /** An endpoint that can't be asked left no word that it had not seen the key. */
+        /** An endpoint that cannot be asked has not reported, at shutdown, that it had not seen the key. */
         ABSENT_WITHOUT_WORD,
-        /** An endpoint left word and is silent now: another process may be up at its address. */
+        /** An endpoint reported its keys at shutdown and is unresponsive: a new process may be up at its address. */
         LEFT_AND_MAYBE_BACK,
-        /** An endpoint that was asked was lost before it answered, twice. */
+        /** An endpoint was lost twice before it answered. */
         ASKED_AND_LOST,
-        /** An endpoint that was asked did not answer in time. */
+        /** An endpoint did not answer in time. */
         NO_ANSWER_IN_TIME
     }
 
     /**
      * The result of an inquiry. Immutable.
      *
-     * @param answer what is known of the key
-     * @param seenAt the endpoint that has seen it and can be reached
+     * @param answer what is known about the key
+     * @param seenAt the endpoint that has seen the key and can be reached
      */
     record Finding(Answer answer, Optional<EndpointLink> seenAt) {}
 
@@ -76,14 +76,14 @@
     private final long mintedAtMillis;
     private final AttemptId id;
     private final long retentionNanos;
-    private final Set<EndpointLink> met = new HashSet<>();
+    private final Set<EndpointLink> considered = new HashSet<>();
     private final Set<EndpointLink> asked = new LinkedHashSet<>();
     private final Set<EndpointLink> askedAgain = new HashSet<>();
     private final Set<EndpointLink> unanswered = new LinkedHashSet<>();
     private final List<EndpointLink> absent = new ArrayList<>();
-    private final Set<EndpointLink> maybeBack = new HashSet<>();
+    private final Set<EndpointLink> maybeRestarted = new HashSet<>();
     private final Inbox inbox = new Inbox();
-    private final long startedAt;
+    private final long startedNanos;
 
     KeyInquiry(
             EntryContext context,
@@ -100,47 +100,48 @@
         this.mintedAtMillis = mintedAtMillis;
         this.id = id;
         this.retentionNanos = retentionNanos;
-        this.startedAt = context.timers().now();
+        this.startedNanos = context.timers().now();
     }
 
-    /** Asks everybody on the newest list of VMs, which is read for this purpose. */
+    /** Asks every endpoint of the pool on the newest list of VMs, which is read for this purpose. */
     Finding inquire() {
         if (!context.members().refresh()) {
-            return unknown(Doubt.LIST_UNREADABLE);
+            return unknown(UnknownReason.LIST_UNREADABLE);
         }
-        if (!context.fleet().linksWholePool(pool)) {
-            return unknown(Doubt.POOL_NOT_LINKED);
+        if (!context.fleet().isLinkedToWholePool(pool)) {
+            return unknown(UnknownReason.POOL_NOT_LINKED);
         }
-        absent.addAll(departed());
+        absent.addAll(removedEndpoints());
         askAll();
-        // Who was dropped before it could be met is not among those asked.
-        departed().stream()
-                .filter(link -> !met.contains(link) && !absent.contains(link))
+        // An endpoint removed before its link was considered is not among those asked.
+        removedEndpoints().stream()
+                .filter(link -> !considered.contains(link) && !absent.contains(link))
                 .forEach(absent::add);
-        Finding finding = collect();
-        asked.forEach(link -> link.end(id));
-        if (finding.answer() == Answer.NEVER_SEEN && !absent.stream().allMatch(link -> denied(link.departedKeys()))) {
-            return unknown(Doubt.ABSENT_WITHOUT_WORD);
+        Finding finding = awaitAnswers();
+        asked.forEach(link -> link.forget(id));
+        if (finding.answer() == Answer.NEVER_SEEN
+                && !absent.stream().allMatch(link -> reportsUnseen(link.keysAtShutdown()))) {
+            return unknown(UnknownReason.ABSENT_WITHOUT_WORD);
         }
-        if (finding.answer() == Answer.NEVER_SEEN && !maybeBack.isEmpty()) {
-            return unknown(Doubt.LEFT_AND_MAYBE_BACK);
+        if (finding.answer() == Answer.NEVER_SEEN && !maybeRestarted.isEmpty()) {
+            return unknown(UnknownReason.LEFT_AND_MAYBE_BACK);
         }
         return finding;
     }
 
-    private List<EndpointLink> departed() {
+    private List<EndpointLink> removedEndpoints() {
         return context.fleet()
                 .history(pool)
-                .departedWithin(retentionNanos, context.timers().now());
+                .removedWithin(retentionNanos, context.timers().now());
     }
 
-    /** Asks also who is listed anew meanwhile, as an endpoint is that comes back at another address. */
+    /** Asks all endpoints but the holder, also those listed meanwhile, such as one restarted at another address. */
     private void askAll() {
         boolean asking = true;
         while (asking) {
             asking = false;
-            for (EndpointLink link : context.fleet().pool(pool)) {
-                if (!link.name().equals(holder.name()) && met.add(link)) {
+            for (EndpointLink link : context.fleet().linksToPool(pool)) {
+                if (!link.name().equals(holder.name()) && considered.add(link)) {
                     asking = true;
                     unanswered.add(link);
                     ask(link);
@@ -150,47 +151,49 @@
     }
 
     private void ask(EndpointLink link) {
-        Reach reach = reach(link);
-        for (int tries = 1; reach == Reach.CONNECTED; tries++) {
+        Reachability reach = awaitReachability(link);
+        for (int sends = 1; reach == Reachability.CONNECTED; sends++) {
             if (link.begin(new FenceKey(id, key, mintedAtMillis), inbox, 0)) {
                 asked.add(link);
                 return;
             }
-            // The connection closed in between; what is there now is to be seen again.
-            reach = tries < MAX_TRIES ? reach(link) : Reach.UNKNOWN;
+            // The connection closed in between, so the endpoint's reachability is checked again.
+            reach = sends < MAX_SEND_ATTEMPTS ? awaitReachability(link) : Reachability.UNKNOWN;
         }
         asked.remove(link);
         unanswered.remove(link);
         absent.add(link);
-        if (reach == Reach.UNKNOWN) {
-            maybeBack.add(link);
+        if (reach == Reachability.UNKNOWN) {
+            maybeRestarted.add(link);
         }
     }
 
     /**
-     * Waits for a link that has just been made. One that leaves counts by its word only where its process is down: the next one
-     * at its address may have seen the key since, and the link dials it late. Whether it is down, or up, may take as long to show as a
-     * process that isn't heard counts as there; one without a word leaves the key in doubt either way, and is not waited for so long.
+     * Waits for a connection of a link that may have just been created. The keys that an endpoint reported at shutdown
+     * are relied on only if its process is down, because the next process at its address may have seen the key since,
+     * and the link dials late. Whether the process is down or up may take a lease to show, the time for which an
+     * unresponsive process still counts as present. An endpoint that has not reported its keys leaves the answer
+     * unknown in either case, so it is not waited for that long.
      */
-    private Reach reach(EndpointLink link) {
-        boolean connected = link.awaitConnected(CONNECTION_WAIT, () -> link.departedKeys() == null);
+    private Reachability awaitReachability(EndpointLink link) {
+        boolean connected = link.awaitConnected(CONNECTION_WAIT, () -> link.keysAtShutdown() == null);
         if (connected) {
-            return Reach.CONNECTED;
+            return Reachability.CONNECTED;
         }
-        return link.reach(link.departedKeys() == null ? CONNECTION_WAIT : restOfLease());
+        return link.checkReachability(link.keysAtShutdown() == null ? CONNECTION_WAIT : remainingLease());
     }
 
-    /** Returns what is left of one lease, which all links share, but time to connect in any case. */
-    private Duration restOfLease() {
-        Duration rest = lease().minusNanos(context.timers().now() - startedAt);
-        return rest.compareTo(CONNECTION_WAIT) > 0 ? rest : CONNECTION_WAIT;
+    /** Returns the rest of one lease, which all links share, but at least {@link #CONNECTION_WAIT}. */
+    private Duration remainingLease() {
+        Duration remaining = lease().minusNanos(context.timers().now() - startedNanos);
+        return remaining.compareTo(CONNECTION_WAIT) > 0 ? remaining : CONNECTION_WAIT;
     }
 
     private Duration lease() {
         return context.settings().timing().lease();
     }
 
-    private Finding unknown(Doubt doubt) {
+    private Finding unknown(UnknownReason doubt) {
         logger.atInfo().log(
                 "event=key-inquiry-in-doubt request=%s holder=%s reason=%s asked=%s unanswered=%s absent=%s age_ms=%d",
                 id.requestId(),
@@ -199,11 +202,11 @@
                 names(asked),
                 names(unanswered),
                 names(absent),
-                (context.timers().now() - startedAt) / NANOS_PER_MILLI);
+                (context.timers().now() - startedNanos) / NANOS_PER_MILLI);
         return new Finding(Answer.UNKNOWN, Optional.empty());
     }
 
-    private static String label(Doubt doubt) {
+    private static String label(UnknownReason doubt) {
         return doubt.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
@@ -211,37 +214,41 @@
         return links.stream().map(EndpointLink::name).collect(Collectors.joining(","));
     }
 
-    private boolean denied(@Nullable Set<String> seen) {
+    private boolean reportsUnseen(@Nullable Set<String> seen) {
         return seen != null && !seen.contains(key);
     }
 
     /**
-     * Puts the question again where its connection has closed. It would be reported lost after a lease, as other orders are that may have been
-     * carried out; to bar a key twice is the same as once, and an endpoint that stops as planned leaves the question unanswered.
+     * Asks again where the connection has closed. Otherwise the question would be reported lost only after a lease,
+     * like other orders that may have been carried out. Asking twice is safe, because fencing a key is idempotent, and
+     * it is needed, because an endpoint that shuts down as planned leaves the question unanswered.
      */
-    private void askWhereClosed() {
-        List<EndpointLink> closed =
+    private void askAgainWhereDisconnected() {
+        List<EndpointLink> disconnected =
                 unanswered.stream().filter(link -> !link.connected()).toList();
-        for (EndpointLink link : closed) {
+        for (EndpointLink link : disconnected) {
             if (askedAgain.add(link)) {
-                link.end(id);
+                link.forget(id);
                 ask(link);
                 askAll();
             }
         }
     }
 
-    /** Waits for the answers, for a lease: one that is connected and silent for longer counts as gone elsewhere too. */
-    private Finding collect() {
-        long until = context.timers().now() + lease().toNanos();
+    /**
+     * Waits for the answers, for one lease: other code also treats an endpoint as lost if it is unresponsive for
+     * longer.
+     */
+    private Finding awaitAnswers() {
+        long deadlineNanos = context.timers().now() + lease().toNanos();
         while (!unanswered.isEmpty()) {
-            long left = (until - context.timers().now()) / NANOS_PER_MILLI;
-            Event event = inbox.poll(Math.max(0, Math.min(left, CLOSED_LOOK.toMillis())));
-            if (event == null && left <= 0) {
-                return unknown(Doubt.NO_ANSWER_IN_TIME);
+            long leftMillis = (deadlineNanos - context.timers().now()) / NANOS_PER_MILLI;
+            AttemptEvent event = inbox.poll(Math.max(0, Math.min(leftMillis, DISCONNECT_POLL_INTERVAL.toMillis())));
+            if (event == null && leftMillis <= 0) {
+                return unknown(UnknownReason.NO_ANSWER_IN_TIME);
             }
             if (event == null) {
-                askWhereClosed();
+                askAgainWhereDisconnected();
                 continue;
             }
             if (event.reply() instanceof KeyFenced fenced) {
@@ -254,7 +261,7 @@
                 ask(event.link());
                 askAll();
             } else {
-                return unknown(Doubt.ASKED_AND_LOST);
+                return unknown(UnknownReason.ASKED_AND_LOST);
             }
         }
         return new Finding(Answer.NEVER_SEEN, Optional.empty());
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/MemberWatch.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/MemberWatch.java
@@ -7,15 +7,15 @@
 import org.quetzalseam.daemon.platform.WatchLoop;
 import org.quetzalseam.wire.runtime.Service;
 
-/** Follows the platform's list of VMs. Through an outage it keeps asking. Thread-safe. */
+/** Follows the platform's list of VMs, and retries during an outage of the store. Thread-safe. */
 final class MemberWatch implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final ObjectStore store;
     private final SiteSync site;
     private final WatchLoop loop;
-    private long lastBegan;
-    private boolean refreshed;
+    private long lastReadStartedAt;
+    private boolean lastReadSucceeded;
 
     MemberWatch(ObjectStore store, SiteSync site, String processName) {
         this.store = store;
@@ -33,24 +33,24 @@
     }
 
     /**
-     * Reads the list anew. Returns true when a read that began after this call has succeeded; callers that wait for each
-     * other share reads.
+     * Reads the list again. Returns true when a read that began after this call has succeeded; concurrent callers share
+     * reads.
      */
     boolean refresh() {
-        long asked = System.nanoTime();
+        long calledAt = System.nanoTime();
         synchronized (this) {
-            if (refreshed && lastBegan - asked > 0) {
+            if (lastReadSucceeded && lastReadStartedAt - calledAt > 0) {
                 return true;
             }
-            lastBegan = System.nanoTime();
+            lastReadStartedAt = System.nanoTime();
             try {
                 site.offerMembers(store.members(0, Duration.ZERO));
-                refreshed = true;
+                lastReadSucceeded = true;
             } catch (StoreException e) {
                 logger.atFine().log("event=member-read-failed reason=\"%s\"", e.getMessage());
-                refreshed = false;
+                lastReadSucceeded = false;
             }
-            return refreshed;
+            return lastReadSucceeded;
         }
     }
 
--- a/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRun.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/entry/ServiceRun.java
@@ -15,10 +15,10 @@
 import org.quetzalseam.wire.message.Refused;
 
 /**
- * Carries out one call of a plain service. Used by one thread.
+ * Runs one call of a plain service. Used by one thread.
  *
- * <p>What was proved not to have run may be sent elsewhere; beyond that only idempotent calls are repeated. A call with an
- * idempotency key goes to the endpoint that holds the key, and to no other.
+ * <p>An attempt that certainly has not run may be repeated at another endpoint; beyond that only idempotent calls are
+ * repeated. A non-idempotent call with an idempotency key goes to the endpoint that holds the key, and to no other.
  */
 final class ServiceRun {
     private static final int MAX_ATTEMPTS = 5;
@@ -28,9 +28,9 @@
     private final EntryContext context;
     private final ServiceRequest request;
     private final Trace trace;
-    private final Set<String> leftOut = new HashSet<>();
+    private final Set<String> excluded = new HashSet<>();
     private final ServiceAttempt attempts;
-    private final long started;
+    private final long startedNanos;
     private boolean mayHaveRun;
 
     ServiceRun(EntryContext context, ServiceRequest request, Trace trace) {
@@ -38,7 +38,7 @@
         this.request = request;
         this.trace = trace;
         this.attempts = new ServiceAttempt(context, request);
-        this.started = context.timers().now();
+        this.startedNanos = context.timers().now();
     }
 
     ServiceResult run() {
@@ -51,16 +51,16 @@
             if (link.isEmpty()) {
                 return noEndpoint();
             }
-            AttemptReply reply = attempts.call(link.get(), id, KeyUse.none(), waitLeft());
+            AttemptReply reply = attempts.call(link.get(), id, KeyUse.none(), remainingWaitMillis());
             trace.note("attempt " + id.number() + " at " + link.get().name() + ": "
                     + reply.getClass().getSimpleName());
-            note(link.get(), reply);
+            recordReply(link.get(), reply);
             mayHaveRun |= !(reply instanceof Refused);
             if (reply instanceof Answer answer) {
                 return new ServiceResult(RunResult.answered("", 1), Optional.of(answer));
             }
-            if (id.number() >= MAX_ATTEMPTS || !another(reply)) {
-                return last(reply);
+            if (id.number() >= MAX_ATTEMPTS || !mayRetry(reply)) {
+                return finalResult(reply);
             }
             id = id.next();
         }
@@ -75,56 +75,57 @@
         return notRun("no-endpoint", message, RETRY_MILLIS);
     }
 
-    private long waitLeft() {
-        long waited = (context.timers().now() - started) / NANOS_PER_MILLI;
-        long limit = Math.min(request.entry().limits().queueWaitMillis(), request.deadlineMillis());
-        return Math.max(0, limit - waited);
+    private long remainingWaitMillis() {
+        long waitedMillis = (context.timers().now() - startedNanos) / NANOS_PER_MILLI;
+        long limitMillis = Math.min(request.entry().limits().queueWaitMillis(), request.deadlineMillis());
+        return Math.max(0, limitMillis - waitedMillis);
     }
 
     private Optional<EndpointLink> choose() {
         String pool = request.service().pool();
         long affinity = Rendezvous.hash(request.path());
-        long patience = Math.min(context.settings().timing().lease().toMillis(), waitLeft());
-        return context.fleet().chooseWithin(patience, request.entry().workClass(), pool, affinity, leftOut);
+        long maxWaitMillis = Math.min(context.settings().timing().lease().toMillis(), remainingWaitMillis());
+        return context.fleet().chooseWithin(maxWaitMillis, request.entry().workClass(), pool, affinity, excluded);
     }
 
-    private void note(EndpointLink link, AttemptReply reply) {
+    private void recordReply(EndpointLink link, AttemptReply reply) {
         if (reply instanceof Answer) {
-            link.succeeded();
+            link.recordSuccess();
             return;
         }
-        leftOut.add(link.name());
-        boolean fault = reply instanceof Failed
+        excluded.add(link.name());
+        boolean endpointFailed = reply instanceof Failed
                 || (reply instanceof Refused refused && refused.reason() == RefusalReason.BACKEND_DOWN);
-        if (fault) {
-            link.failed();
+        if (endpointFailed) {
+            link.recordFailure();
         }
     }
 
-    private boolean another(AttemptReply reply) {
+    private boolean mayRetry(AttemptReply reply) {
         if (reply instanceof Refused refused) {
             return switch (refused.reason()) {
                 case LEAVING, SEALED -> true;
-                case BACKEND_DOWN, WRONG_ENDPOINT -> budgeted(refused.reason().label());
+                case BACKEND_DOWN, WRONG_ENDPOINT ->
+                    takeFromRetryBudget(refused.reason().label());
                 default -> false;
             };
         }
-        return request.entry().idempotent() && budgeted("no-answer");
+        return request.entry().idempotent() && takeFromRetryBudget("no-answer");
     }
 
-    private boolean budgeted(String reason) {
-        if (!context.retries().retry(request.entry().owner())) {
+    private boolean takeFromRetryBudget(String reason) {
+        if (!context.retries().tryRetry(request.entry().owner())) {
             return false;
         }
         context.metrics().retry(reason);
         return true;
     }
 
-    /** Returns what the caller is to be told after the last attempt. */
-    private ServiceResult last(AttemptReply reply) {
+    /** Returns the result of the call after the last attempt. */
+    private ServiceResult finalResult(AttemptReply reply) {
         if (reply instanceof Refused refused && !mayHaveRun) {
-            long retry = Math.max(refused.retryAfterMillis(), RETRY_MILLIS);
-            return notRun(refused.reason().label(), "the call was refused before it ran", retry);
+            long retryMillis = Math.max(refused.retryAfterMillis(), RETRY_MILLIS);
+            return notRun(refused.reason().label(), "the call was refused before it ran", retryMillis);
         }
         boolean safe = request.entry().idempotent();
         String code = reply instanceof Failed failed ? failed.code().label() : "answer-lost";
--- a/daemon/src/main/java/org/quetzalseam/daemon/platform/WatchLoop.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/platform/WatchLoop.java
@@ -10,33 +10,34 @@
 import org.quetzalseam.wire.runtime.Threads;
 
 /**
- * Follows something in the platform's store on a thread of its own: round after round, each of which waits in the store.
- * After a round that failed it pauses, with jitter, and asks for an answer at once; an outage ends nothing. Thread-safe.
+ * Watches an object or a list in the platform's store on a thread of its own, by repeated long polls.
+ * After a failed poll it pauses, with jitter, and then polls without waiting; an outage does not end the loop. Thread-safe.
  *
- * <p>Open connections may go silent for good while new ones work. The wait is so short that a change is in force in time after two
- * silent connections in a row.
+ * <p>Open connections may stay unresponsive for good while new ones work. The wait of a poll is short enough for a change to be in
+ * force in time even after two unresponsive connections in a row.
  */
 public final class WatchLoop implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final long RETRY_MILLIS = 500;
-    /** How long a round waits for something new. */
-    private static final Duration WAIT = Duration.ofSeconds(5);
+    /** Shortest pause after a failed poll; jitter adds up to the same time again. */
+    private static final long MIN_RETRY_MILLIS = 500;
+    /** How long a poll waits in the store for a change. */
+    private static final Duration POLL_WAIT = Duration.ofSeconds(5);
 
     private final String name;
-    private final Consumer<Duration> round;
+    private final Consumer<Duration> poll;
     private final Thread thread;
     private final CountDownLatch stopped = new CountDownLatch(1);
 
     /**
      * Creates a loop.
      *
-     * @param name appears in logs and as the thread's name
-     * @param round is told how long to wait for something new
+     * @param name name of the thread, also written to logs
+     * @param poll polls once; its argument is how long to wait for a change
      */
-    public WatchLoop(String name, Consumer<Duration> round) {
+    public WatchLoop(String name, Consumer<Duration> poll) {
         this.name = name;
-        this.round = round;
-        this.thread = Threads.daemon(name, this::follow);
+        this.poll = poll;
+        this.thread = Threads.daemon(name, this::run);
     }
 
     @Override
@@ -44,21 +45,21 @@
         thread.start();
     }
 
-    private void follow() {
-        Duration wait = WAIT;
+    private void run() {
+        Duration wait = POLL_WAIT;
         while (stopped.getCount() > 0) {
             try {
-                round.accept(wait);
-                wait = WAIT;
+                poll.accept(wait);
+                wait = POLL_WAIT;
             } catch (RuntimeException e) {
                 wait = Duration.ZERO;
                 logger.atFine().log("event=watch-failed name=%s reason=\"%s\"", name, e.getMessage());
-                pause(RETRY_MILLIS + ThreadLocalRandom.current().nextLong(RETRY_MILLIS));
+                pause(MIN_RETRY_MILLIS + ThreadLocalRandom.current().nextLong(MIN_RETRY_MILLIS));
             }
         }
     }
 
-    /** Lets time pass in a round; returns early when the loop is stopped. */
+    /** Sleeps within a poll; returns early when the loop is stopped. */
     public void pause(long millis) {
         try {
             if (stopped.await(millis, TimeUnit.MILLISECONDS)) {
--- a/daemon/src/main/java/org/quetzalseam/daemon/service/SingleUseClient.java
+++ b/daemon/src/main/java/org/quetzalseam/daemon/service/SingleUseClient.java
@@ -38,13 +38,17 @@
 /**
  * Makes HTTP calls that must not run twice, each over a connection of its own, and never repeats one. Thread-safe.
  *
- * <p>The JDK's client can't do this: it keeps a connection whose answer doesn't announce its end, whatever the request asked
- * for, and a call that then meets the close has no answer although it may have run.
+ * <p>The JDK's client cannot do this: it keeps a connection open unless the answer announces that it will be closed,
+ * whatever the request asked for. A call that is then sent while the service closes the connection gets no answer
+ * although it may have run.
  */
 final class SingleUseClient implements Service {
-    /** No bound of its own: the endpoint's places bound the calls that run. */
+    /** Practically unlimited, because the endpoint's slots limit the calls that run. */
     private static final int MAX_CONNECTIONS = 65_536;
-    /** An endpoint stands before one service, whose answers one thread copies as fast as loopback brings them. */
+    /**
+     * Enough, because an endpoint serves one service, and one thread copies its answers as fast as loopback delivers
+     * them.
+     */
     private static final int IO_THREADS = 1;
 
     private static final String STOPPED = "stopped";
@@ -82,12 +86,13 @@
     /**
      * Makes a call. The future fails with a {@link ServiceException}.
      *
-     * @throws IllegalArgumentException if the call can't be expressed in HTTP
+     * @throws IllegalArgumentException if the call cannot be expressed in HTTP
      */
     CompletableFuture<ServiceAnswer> call(Call call) {
         long limit = Math.max(1, call.timeoutMillis());
-        Pending pending = new Pending(request(call));
-        // HttpCore keeps the limit given here as the limit of the connection's silence.
+        PendingCall pending = new PendingCall(request(call));
+        // HttpCore also applies the timeout given here as the connection's idle timeout, so it must not be the connect
+        // timeout.
         Future<AsyncClientEndpoint> unused = requester.connect(host, Timeout.ofMilliseconds(limit), null, pending);
         return pending.answer(limit);
     }
@@ -95,7 +100,7 @@
     private AsyncRequestProducer request(Call call) {
         AsyncRequestBuilder builder =
                 AsyncRequestBuilder.create(call.method()).setHttpHost(host).setPath(call.path());
-        HttpServiceClient.passedHeaders(call).forEach(builder::setHeader);
+        HttpServiceClient.forwardedHeaders(call).forEach(builder::setHeader);
         builder.setHeader("Connection", "close");
         if (call.body().length > 0) {
             builder.setEntity(AsyncEntityProducers.create(call.body(), null));
@@ -103,40 +108,43 @@
         return builder.build();
     }
 
-    /** One call, from its connection to its answer. */
-    private static final class Pending implements FutureCallback<AsyncClientEndpoint> {
+    /** One call, from connecting to its answer. */
+    private static final class PendingCall implements FutureCallback<AsyncClientEndpoint> {
         private final AsyncRequestProducer request;
-        /** Whichever completes it first decides whether the call is sent: the connection, or the end of the wait for it. */
+        /**
+         * Completed by the connection or by the connect timeout; whichever comes first decides whether the call is
+         * sent.
+         */
         private final CompletableFuture<AsyncClientEndpoint> connecting = new CompletableFuture<>();
 
         private final CompletableFuture<ServiceAnswer> answer = new CompletableFuture<>();
 
-        Pending(AsyncRequestProducer request) {
+        PendingCall(AsyncRequestProducer request) {
             this.request = request;
         }
 
-        /** Returns the answer. After the limit the call counts as begun, also where it was still connecting. */
+        /** Returns the answer. After the limit the call counts as started, even if it was still connecting. */
         CompletableFuture<ServiceAnswer> answer(long limitMillis) {
             CompletableFuture<Void> unused = connecting
                     .orTimeout(HttpClients.CONNECT_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                     .handle((connection, failure) -> {
                         if (failure != null) {
-                            notConnected(failure);
+                            failNotConnected(failure);
                         }
                         return null;
                     });
             return answer.orTimeout(limitMillis, TimeUnit.MILLISECONDS).exceptionallyCompose(failure -> {
-                boolean late = HttpClients.cause(failure) instanceof TimeoutException;
+                boolean timedOut = HttpClients.cause(failure) instanceof TimeoutException;
                 return CompletableFuture.failedFuture(
-                        late
+                        timedOut
                                 ? new ServiceException(Code.TIMEOUT, "the service did not answer in time", failure)
                                 : failure);
             });
         }
 
-        private void notConnected(Throwable failure) {
-            boolean late = failure instanceof TimeoutException;
-            String reason = late
+        private void failNotConnected(Throwable failure) {
+            boolean timedOut = failure instanceof TimeoutException;
+            String reason = timedOut
                     ? "no connection within " + HttpClients.CONNECT_TIMEOUT.toMillis() + " ms"
                     : String.valueOf(failure.getMessage());
             fail(Code.NOT_RUN, reason, failure);
@@ -149,7 +157,7 @@
                 return;
             }
             CompletableFuture<ServiceAnswer> unusedAnswer =
-                    answer.whenComplete((given, failure) -> connection.releaseAndDiscard());
+                    answer.whenComplete((result, failure) -> connection.releaseAndDiscard());
             Future<Message<HttpResponse, byte[]>> unused = connection.execute(
                     request, new BasicResponseConsumer<>(new BasicAsyncEntityConsumer()), new Exchange());
         }
@@ -171,7 +179,7 @@
         private final class Exchange implements FutureCallback<Message<HttpResponse, byte[]>> {
             @Override
             public void completed(Message<HttpResponse, byte[]> response) {
-                answer.complete(read(response));
+                answer.complete(toAnswer(response));
             }
 
             @Override
@@ -186,10 +194,10 @@
         }
     }
 
-    private static ServiceAnswer read(Message<HttpResponse, byte[]> response) {
+    private static ServiceAnswer toAnswer(Message<HttpResponse, byte[]> response) {
         Map<String, String> headers = new HashMap<>();
         for (Header header : response.getHead().getHeaders()) {
-            if (HttpServiceClient.passed(header.getName())) {
+            if (HttpServiceClient.isForwarded(header.getName())) {
                 headers.merge(
                         header.getName().toLowerCase(Locale.ROOT),
                         header.getValue(),
--- a/daemon/src/test/java/org/quetzalseam/daemon/platform/RestoredObjectStoreTest.java
+++ b/daemon/src/test/java/org/quetzalseam/daemon/platform/RestoredObjectStoreTest.java
@@ -29,28 +29,28 @@
     }
 
     @Test
-    void aVersionThatIsGivenOutAgainIsLaterThanTheOneBefore() {
+    void aVersionReissuedAfterARestoreIsGreaterThanTheOneBefore() {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
         assertThat(store.create("a", value(2)).version()).isGreaterThan(before);
     }
 
-    /** The version that the watch names is there again, with another content. */
+    /** The watched version exists again after the restore, with different content. */
     @Test
-    void aWatchFromAVersionOfTheEraBeforeIsAnsweredAtOnce() throws Exception {
+    void aWatchFromAVersionOfThePreviousEraIsAnsweredAtOnce() throws Exception {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
         new HttpObjectStore(platform.url()).create("a", value(2));
-        // Any answer of the new era will do.
+        // Any response of the new era informs the client.
         assertThat(store.read("b")).isEmpty();
         assertThat(watched(before)).containsExactly(2);
     }
 
-    /** As above, and the watch is the first that hears of the new era. */
+    /** The response to the watch is the first that states the new era. */
     @Test
-    void aWatchThatWaitsWhileTheStoreComesBackShowsWhatIsThere() throws Exception {
+    void aWatchThatWaitsDuringARestoreReturnsTheRestoredObject() throws Exception {
         store.create("a", value(1));
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.replace("a", value(2), store.read("a").orElseThrow().version())
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aWriteOnConditionOfAVersionOfTheEraBeforeOverwritesNothing() {
+    void aWriteConditionalOnAVersionOfThePreviousEraOverwritesNothing() {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
@@ -83,9 +83,9 @@
         assertThat(other.read("a").orElseThrow().value()).containsExactly(2);
     }
 
-    /** Nobody had told the writer of the new era: the write took effect, but not on what it was meant for. */
+    /** The writer did not know of the new era: the write took effect, but on another object state than the one it was meant for. */
     @Test
-    void aWriteThatIsAnsweredInALaterEraThanItsConditionIsUnknown() {
+    void aWriteAnsweredInALaterEraThanItsConditionHasAnUnknownOutcome() {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aListOfTheNewEraIsLaterThanAnyBefore() {
+    void aMemberListOfTheNewEraHasAGreaterVersionThanAnyBefore() {
         platform.list(VM);
         PlatformStandIn.Copy copy = platform.copy();
         platform.unlist(VM.name());
@@ -107,9 +107,9 @@
         assertThat(now.vms()).hasSize(1);
     }
 
-    /** Such a watch is answered at once, each time; a follower that took it for a wait that is over would ask without pause. */
+    /** The store answers such a watch at once each time, so a loop that took this for an expired wait would poll without pause. */
     @Test
-    void aWatchOfAnObjectThatTheCopyDoesNotHaveFails() {
+    void aWatchOfAnObjectMissingFromTheRestoredCopyFails() {
         PlatformStandIn.Copy copy = platform.copy();
         long before = store.create("a", value(1)).version();
         platform.restore(copy);
--- a/gateway/src/main/java/org/quetzalseam/gateway/EntryProcess.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/EntryProcess.java
@@ -17,29 +17,29 @@
 import org.quetzalseam.gateway.runtime.Timers;
 
 /**
- * An entry: takes callers' requests on one event loop and forwards them. What it routes by, it is given through {@link
- * #router} and {@link #directory}, on the thread of its {@link #timers}.
+ * The streaming entry: accepts callers' requests on one event loop and forwards them to endpoints. Its owner supplies routes
+ * and endpoints through {@link #router} and {@link #directory}, on the thread of its {@link #timers}.
  */
 public final class EntryProcess {
     private static final String METRICS_PATH = "/metrics";
-    /** How often the loop's delay is measured, in milliseconds. */
-    private static final long LOOP_LOOK_MILLIS = 500;
+    /** How often the event loop's delay is measured, in milliseconds. */
+    private static final long LOOP_DELAY_INTERVAL_MILLIS = 500;
 
     private final NioEventLoopGroup group;
     private final EventLoop loop;
     private final Timers timers;
     private final Directory directory;
     private final RequestRouter router;
-    private final CallerServer callers;
+    private final CallerServer callerServer;
     private final GatewayMetrics metrics;
-    private final OperatorServer operators;
+    private final OperatorServer operatorServer;
     private final Connector connector;
-    private volatile boolean leaving;
-    private volatile EntryCount entries = EntryCount.ALONE;
-    private long loopLookedAt;
+    private volatile boolean draining;
+    private volatile EntryCount entryCount = EntryCount.ALONE;
+    private long loopMeasuredAt;
     private long loopDelayMillis;
 
-    /** Creates an entry; {@link #start} opens it. */
+    /** Creates an entry that listens nowhere until {@link #start} is called. */
     public EntryProcess(Protocol protocol, EntrySettings settings) {
         group = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
         loop = group.next();
@@ -48,8 +48,8 @@
         directory = new Directory(connector);
         metrics = new GatewayMetrics();
         router = new RequestRouter(timers, protocol, directory, settings, metrics);
-        callers = new CallerServer(loop, protocol, router::limits, router::route);
-        operators = new OperatorServer(loop, () -> router.ready() && !leaving);
+        callerServer = new CallerServer(loop, protocol, router::limits, router::route);
+        operatorServer = new OperatorServer(loop, () -> router.ready() && !draining);
     }
 
     /** Returns the timers of the event loop that everything runs on. */
@@ -57,44 +57,44 @@
         return timers;
     }
 
-    /** Returns what opens connections on the event loop. */
+    /** Returns the connector that opens connections on the event loop. */
     public Connector connector() {
         return connector;
     }
 
-    /** Returns the endpoints, to be kept up to date. */
+    /** Returns the directory of endpoints, which the owner of this entry keeps up to date. */
     public Directory directory() {
         return directory;
     }
 
-    /** Returns the router, to be given the desired state. */
+    /** Returns the router, which the owner of this entry supplies with the desired state. */
     public RequestRouter router() {
         return router;
     }
 
     /**
-     * Listens for callers, for questions about readiness, and for those who ask for the metrics. An address with port 0 gets a port
-     * of the system's choice.
+     * Starts to listen for callers, for readiness checks and for metrics requests. For an address with port 0 the operating
+     * system chooses a port.
      *
      * @return the addresses with their real ports
-     * @throws org.quetzalseam.gateway.http.GatewayException if one of the addresses can't be listened on
+     * @throws org.quetzalseam.gateway.http.GatewayException if the process cannot listen on one of the addresses
      */
     public ListeningAddresses start(
             InetSocketAddress callerAddress, InetSocketAddress readyAddress, InetSocketAddress metricsAddress) {
-        operators.page(METRICS_PATH, metrics::text);
+        operatorServer.addPage(METRICS_PATH, metrics::text);
         registerGauges();
-        InetSocketAddress ready = operators.start(readyAddress);
-        InetSocketAddress metricsPage = operators.start(metricsAddress);
-        return new ListeningAddresses(callers.start(callerAddress), ready, metricsPage);
+        InetSocketAddress ready = operatorServer.start(readyAddress);
+        InetSocketAddress metricsPage = operatorServer.start(metricsAddress);
+        return new ListeningAddresses(callerServer.start(callerAddress), ready, metricsPage);
     }
 
     private void registerGauges() {
-        metrics.gauge("quetzalseam.requests.in.progress", callers::inProgress);
-        metrics.gauge("quetzalseam.caller.connections", callers::connections);
+        metrics.gauge("quetzalseam.requests.in.progress", callerServer::inProgress);
+        metrics.gauge("quetzalseam.caller.connections", callerServer::connections);
         metrics.gauge("quetzalseam.desired.state.version", router::version);
         metrics.gauge("quetzalseam.memory.used.bytes", EntryProcess::memoryUsed);
         metrics.gauge("quetzalseam.loop.delay.ms", () -> loopDelayMillis);
-        timers.every(LOOP_LOOK_MILLIS, this::measureLoopDelay);
+        timers.every(LOOP_DELAY_INTERVAL_MILLIS, this::measureLoopDelay);
     }
 
     private static long memoryUsed() {
@@ -102,34 +102,37 @@
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** The time by which the loop's own timer is late tells how long everything else waits for it. */
+    /** Measures by how much a timer of the event loop is late, which is how long all other work waits for the loop. */
     private void measureLoopDelay() {
         long now = timers.now();
-        if (loopLookedAt != 0) {
-            long late = TimeUnit.NANOSECONDS.toMillis(now - loopLookedAt) - LOOP_LOOK_MILLIS;
+        if (loopMeasuredAt != 0) {
+            long late = TimeUnit.NANOSECONDS.toMillis(now - loopMeasuredAt) - LOOP_DELAY_INTERVAL_MILLIS;
             loopDelayMillis = Math.max(late, loopDelayMillis / 2);
         }
-        loopLookedAt = now;
+        loopMeasuredAt = now;
     }
 
-    /** Takes the number of entries, which share budgets and leave in turn. */
-    public void counted(EntryCount count) {
-        entries = count;
+    /** Sets the number of entries, which share budgets and shut down one after the other. */
+    public void entryCountChanged(EntryCount count) {
+        entryCount = count;
         router.entries(count);
     }
 
-    /** Returns the metrics, for what is measured outside the entry's own parts. */
+    /** Returns the metrics, to which code outside the entry adds its own measurements. */
     public GatewayMetrics metrics() {
         return metrics;
     }
 
-    /** Leaves: tells that it isn't ready, ends what it has taken, and returns when that is done or time is up. */
+    /**
+     * Shuts the entry down in order: it reports that it is not ready and completes the requests that it has accepted. Returns
+     * when they have ended or the grace period is over.
+     */
     public void drain(long graceMillis) {
-        leaving = true;
-        new Departure(timers, callers, router).run(graceMillis, entries);
+        draining = true;
+        new EntryShutdown(timers, callerServer, router).run(graceMillis, entryCount);
     }
 
-    /** Drops everything at once. */
+    /** Stops at once; requests in progress and connections are dropped. */
     public void stop() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/CallerConnection.java
@@ -25,27 +25,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection of a caller. Requests are read whole, then answered one after the other. Used on its event loop only.
+ * A caller's connection. Each request is read completely before it is routed, and requests are answered one after the other.
+ * Used on its event loop only.
  *
- * <p>It keeps reading while an answer is under way: only so does it learn at once that the caller has gone.
+ * <p>It keeps reading while an answer is in progress, because only then does it notice at once that the caller has
+ * disconnected.
  */
 // A write or close that fails is reported through the channel's pipeline, where it is handled.
 @SuppressWarnings("FutureReturnValueIgnored")
 final class CallerConnection extends ChannelInboundHandlerAdapter {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** Requests that may wait behind the one in progress; past that the caller isn't read until one is answered. */
+    /** Pipelined requests that may wait behind the one in progress; at this number reading stops until one is answered. */
     private static final int MAX_PIPELINED = 8;
 
     private final CallerServer server;
-    private final Deque<Exchange> waiting = new ArrayDeque<>();
+    private final Deque<Exchange> pipelined = new ArrayDeque<>();
     private final Channel channel;
     private @Nullable Exchange current;
     private @Nullable HttpRequest head;
     private @Nullable ByteBuf body;
     private boolean discarding;
-    private boolean stopped;
+    private boolean processStopping;
     private final long openedAt = System.nanoTime();
-    private long quietSince = openedAt;
+    private long idleSince = openedAt;
     private boolean receiving;
 
     CallerConnection(CallerServer server, Channel channel) {
@@ -55,50 +57,53 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        server.opened(this);
+        server.connectionOpened(this);
     }
 
-    /** Notes that bytes have come: from now on a header section is due. */
+    /** Notes that bytes have arrived. On an idle connection the time limit for the header section starts. */
     void bytesArrived() {
         if (!receiving && current == null) {
             receiving = true;
-            quietSince = System.nanoTime();
+            idleSince = System.nanoTime();
         }
     }
 
-    /** Closes the connection when it has been quiet for longer than the limits allow. */
-    void checkTime(long now) {
+    /**
+     * Closes the connection if it has been idle, a request has been received only in part, or a finished answer has been unread
+     * for longer than the limits allow.
+     */
+    void closeIfTimedOut(long now) {
         Exchange exchange = current;
         if (exchange != null) {
-            closeUnread(exchange, now);
+            closeIfAnswerUnread(exchange, now);
             return;
         }
-        if (!waiting.isEmpty()) {
+        if (!pipelined.isEmpty()) {
             return;
         }
         long limitMillis =
                 receiving ? server.limits().headerMillis() : server.limits().idleMillis();
-        if (now - quietSince > TimeUnit.MILLISECONDS.toNanos(limitMillis)) {
+        if (now - idleSince > TimeUnit.MILLISECONDS.toNanos(limitMillis)) {
             logger.atFine().log("event=caller-timed-out receiving=%s", receiving);
             channel.close();
         }
     }
 
-    /** A caller who doesn't read an answer is quiet too. */
-    private void closeUnread(Exchange exchange, long now) {
+    /** Closes the connection if the answer has ended and the caller has not read the rest of it within the idle limit. */
+    private void closeIfAnswerUnread(Exchange exchange, long now) {
         long limit = TimeUnit.MILLISECONDS.toNanos(server.limits().idleMillis());
         if (exchange.ended() && now - exchange.endedAt() > limit) {
             channel.close();
         }
     }
 
-    /** Returns whether nothing is asked or being asked on the connection, nor has been for the given time. */
+    /** Returns whether no request has been in progress, waiting or being received for longer than the given time. */
     boolean idleFor(long nanos, long now) {
-        boolean idle = current == null && waiting.isEmpty() && !receiving && head == null;
-        return idle && now - quietSince > nanos;
+        boolean idle = current == null && pipelined.isEmpty() && !receiving && head == null;
+        return idle && now - idleSince > nanos;
     }
 
-    /** Returns whether a request has begun to come and isn't whole yet. */
+    /** Returns whether a request has been received in part but not completely. */
     boolean receiving() {
         return receiving;
     }
@@ -115,14 +120,14 @@
             return;
         }
         if (message instanceof HttpRequest request) {
-            takeHead(request);
+            receiveHead(request);
         }
         if (message instanceof HttpContent content) {
-            takeContent(content);
+            receiveContent(content);
         }
     }
 
-    private void takeHead(HttpRequest request) {
+    private void receiveHead(HttpRequest request) {
         receiving = true;
         if (discarding) {
             return;
@@ -132,7 +137,7 @@
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is longer than allowed");
             return;
         }
-        if (!server.reserveBody(length)) {
+        if (!server.mayAcceptBody(length)) {
             refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many bodies are being read");
             return;
         }
@@ -143,38 +148,38 @@
         }
     }
 
-    private void takeContent(HttpContent content) {
+    private void receiveContent(HttpContent content) {
         HttpRequest request = head;
-        ByteBuf collected = body;
-        if (discarding || request == null || collected == null) {
+        ByteBuf received = body;
+        if (discarding || request == null || received == null) {
             content.release();
             return;
         }
-        if (collected.readableBytes() + content.content().readableBytes()
+        if (received.readableBytes() + content.content().readableBytes()
                 > server.limits().bodyBytes()) {
             content.release();
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is longer than allowed");
             return;
         }
-        collected.writeBytes(content.content());
+        received.writeBytes(content.content());
         content.release();
         if (content instanceof LastHttpContent) {
             head = null;
             body = null;
             receiving = false;
-            received(request, collected);
+            requestReceived(request, received);
         }
     }
 
-    private void received(HttpRequest request, ByteBuf collected) {
-        Exchange exchange = new Exchange(channel, request, collected, server.facts(request), this::exchangeEnded);
-        if (stopped) {
-            exchange.drop();
+    private void requestReceived(HttpRequest request, ByteBuf received) {
+        Exchange exchange = new Exchange(channel, request, received, server.facts(request), this::exchangeEnded);
+        if (processStopping) {
+            exchange.discard();
             return;
         }
         if (current != null) {
-            waiting.addLast(exchange);
-            if (waiting.size() >= MAX_PIPELINED) {
+            pipelined.addLast(exchange);
+            if (pipelined.size() >= MAX_PIPELINED) {
                 channel.config().setAutoRead(false);
             }
             return;
@@ -184,36 +189,39 @@
 
     private void begin(Exchange exchange) {
         current = exchange;
-        if (server.leaving()) {
-            exchange.closeAfter();
+        if (server.draining()) {
+            exchange.closeAfterAnswer();
         }
-        server.begin(exchange, openedAt);
+        server.beginExchange(exchange, openedAt);
     }
 
-    /** Asks for the connection to be closed after the answer in progress, if its head isn't written yet. */
+    /** Closes the connection after the answer in progress, which announces this if its head has not been written yet. */
     void closeAfterCurrent() {
         Exchange exchange = current;
         if (exchange != null) {
-            exchange.closeAfter();
+            exchange.closeAfterAnswer();
         }
     }
 
-    /** The process ends: what is being answered ends now, what waits behind it or still comes is never begun. */
-    void processStops() {
-        stopped = true;
-        // What waits goes quietly: closing for its sake would take the connection from the answer before it.
-        dropWaiting();
+    /**
+     * Ends the request in progress because the process ends. Requests that wait behind it or arrive later are discarded
+     * unanswered.
+     */
+    void endForShutdown() {
+        processStopping = true;
+        // Waiting requests are discarded without closing the connection, because the answer in progress still needs it.
+        dropPipelined();
         Exchange exchange = current;
         if (exchange == null) {
             channel.close();
         } else {
-            exchange.processStops();
+            exchange.endForShutdown();
         }
     }
 
-    private void dropWaiting() {
-        waiting.forEach(Exchange::drop);
-        waiting.clear();
+    private void dropPipelined() {
+        pipelined.forEach(Exchange::discard);
+        pipelined.clear();
     }
 
     private void exchangeEnded() {
@@ -221,13 +229,13 @@
             return;
         }
         current = null;
-        quietSince = System.nanoTime();
-        server.ended();
+        idleSince = System.nanoTime();
+        server.exchangeEnded();
         if (discarding) {
             channel.close();
             return;
         }
-        // On a turn of its own, as the answer may be given from within the arrival of the next request.
+        // Runs as a task of its own, because the answer may be given while the next request is being received.
         channel.eventLoop().execute(this::beginNext);
     }
 
@@ -235,7 +243,7 @@
         if (current != null || !channel.isActive()) {
             return;
         }
-        Exchange next = waiting.pollFirst();
+        Exchange next = pipelined.pollFirst();
         if (next == null) {
             return;
         }
@@ -264,8 +272,9 @@
         }
         discarding = true;
         if (current != null) {
-            // The answer in progress goes first; the caller learns of this fault by the connection's end.
-            current.closeAfter();
+            // The answer in progress is completed first. The caller learns of this request's failure from the closed
+            // connection.
+            current.closeAfterAnswer();
             return;
         }
         DefaultFullHttpResponse answer = new DefaultFullHttpResponse(
@@ -298,7 +307,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        server.closed(this);
+        server.connectionClosed(this);
         ByteBuf unused = body;
         if (unused != null) {
             unused.release();
@@ -306,8 +315,8 @@
         }
         Exchange exchange = current;
         if (exchange != null) {
-            exchange.callerGone();
+            exchange.callerDisconnected();
         }
-        dropWaiting();
+        dropPipelined();
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/caller/Exchange.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/caller/Exchange.java
@@ -24,10 +24,10 @@
 import org.quetzalseam.gateway.protocol.RequestFacts;
 
 /**
- * One request of a caller and the answer to it. Used on the event loop only.
+ * A request of a caller and the answer to it. Used on the event loop only.
  *
- * <p>An answer is given whole, or begun, continued and ended. One that can't be ended is cut: its connection closes before
- * the end of the body, so that it never looks complete.
+ * <p>An answer is sent either at once or in parts: head, body parts, end. An answer that cannot be completed is aborted: its
+ * connection closes before the end of the body, so that the answer never looks complete.
  */
 // A write or close that fails is reported through the channel's pipeline, where it is handled.
 @SuppressWarnings("FutureReturnValueIgnored")
@@ -38,7 +38,7 @@
     private final HttpRequest request;
     private final ByteBuf body;
     private final RequestFacts facts;
-    private final long arrived;
+    private final long arrivedAt;
     private final Runnable onEnd;
     private final boolean keepAlive;
     private boolean closing;
@@ -46,16 +46,16 @@
     private boolean chunked;
     private boolean ended;
     private long endedAt;
-    private @Nullable Runnable whenGone;
-    private @Nullable Runnable whenWritable;
-    private @Nullable Runnable whenStopped;
+    private @Nullable Runnable onCallerDisconnected;
+    private @Nullable Runnable onWritable;
+    private @Nullable Runnable onShutdown;
 
     Exchange(Channel channel, HttpRequest request, ByteBuf body, RequestFacts facts, Runnable onEnd) {
         this.channel = channel;
         this.request = request;
         this.body = body;
         this.facts = facts;
-        this.arrived = System.nanoTime();
+        this.arrivedAt = System.nanoTime();
         this.onEnd = onEnd;
         this.keepAlive = HttpUtil.isKeepAlive(request);
     }
@@ -65,120 +65,120 @@
         return request;
     }
 
-    /** Returns a view of the whole body; the taker releases it. */
+    /** Returns a view of the complete body, which the caller of this method releases. */
     public ByteBuf body() {
         return body.retainedDuplicate();
     }
 
-    /** Returns what the request says of itself. */
+    /** Returns the facts that the protocol reads from the request's headers. */
     public RequestFacts facts() {
         return facts;
     }
 
-    /** Returns when the request was whole, in monotonic nanoseconds. */
-    public long arrived() {
-        return arrived;
+    /** Returns when the request was complete, in monotonic nanoseconds. */
+    public long arrivedAt() {
+        return arrivedAt;
     }
 
-    /** Returns how long ago the request was whole, in milliseconds. */
+    /** Returns how long ago the request was complete, in milliseconds. */
     public long ageMillis() {
-        return (System.nanoTime() - arrived) / 1_000_000;
+        return (System.nanoTime() - arrivedAt) / 1_000_000;
     }
 
-    /** Returns whether the answer is over, or the caller gone. */
+    /** Returns whether the answer has ended or the caller has disconnected. */
     public boolean ended() {
         return ended;
     }
 
-    /** Returns when the answer was over, in monotonic nanoseconds; the caller may still be reading it. */
+    /** Returns when the answer ended, in monotonic nanoseconds; the caller may still be reading it. */
     long endedAt() {
         return endedAt;
     }
 
-    /** Returns whether the beginning of an answer has been given. */
+    /** Returns whether an answer has begun. */
     public boolean begun() {
         return begun;
     }
 
-    /** Sets what is called once if the caller leaves before the end of the answer. */
-    public void whenGone(Runnable call) {
-        whenGone = call;
+    /** Sets the callback that runs once if the caller disconnects before the answer ends. */
+    public void onCallerDisconnected(Runnable call) {
+        onCallerDisconnected = call;
     }
 
-    /** Sets what is called whenever the caller has taken what was written. */
-    public void whenWritable(Runnable call) {
-        whenWritable = call;
+    /** Sets the callback that runs whenever the connection becomes writable again because the caller has read enough. */
+    public void onWritable(Runnable call) {
+        onWritable = call;
     }
 
-    /** Sets what is called if the process ends before the answer does; it has to end the answer at once. */
-    public void whenStopped(Runnable call) {
-        whenStopped = call;
+    /** Sets the callback that runs if the process ends before the answer does; it must end the answer at once. */
+    public void onShutdown(Runnable call) {
+        onShutdown = call;
     }
 
-    /** Returns whether the caller takes what is written as fast as it comes. */
+    /** Returns whether the caller reads as fast as the answer is written. */
     public boolean writable() {
         return channel.isWritable();
     }
 
     /** Closes the connection after this answer. */
-    void closeAfter() {
+    void closeAfterAnswer() {
         closing = true;
     }
 
     void writabilityChanged() {
-        Runnable call = whenWritable;
+        Runnable call = onWritable;
         if (call != null && channel.isWritable()) {
             call.run();
         }
     }
 
-    void callerGone() {
+    void callerDisconnected() {
         if (ended) {
             return;
         }
-        over();
-        Runnable call = whenGone;
+        markEnded();
+        Runnable call = onCallerDisconnected;
         if (call != null) {
             call.run();
         }
         finish();
     }
 
-    /** Gives a whole answer with an endpoint's status and headers. Takes the body over. */
-    public void answer(HttpResponse head, ByteBuf whole) {
+    /** Sends a complete answer with an endpoint's status and headers. Takes ownership of the body. */
+    public void answer(HttpResponse head, ByteBuf content) {
         if (ended) {
-            whole.release();
+            content.release();
             return;
         }
-        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), whole);
+        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), content);
         answer.headers().set(head.headers());
-        HopHeaders.remove(answer.headers());
-        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, whole.readableBytes());
-        writeWhole(answer);
+        HopByHopHeaders.remove(answer.headers());
+        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
+        writeComplete(answer);
     }
 
-    /** Gives an answer of this process: a status with a short text. */
-    public void answer(HttpResponseStatus status, String text, HttpHeaders more) {
+    /** Sends an answer of this process: a status with a short text and additional headers. */
+    public void answer(HttpResponseStatus status, String text, HttpHeaders extraHeaders) {
         if (ended) {
             return;
         }
         ByteBuf content = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
         DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         answer.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
-        answer.headers().add(more);
+        answer.headers().add(extraHeaders);
         answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
-        writeWhole(answer);
+        writeComplete(answer);
     }
 
-    private void writeWhole(DefaultFullHttpResponse answer) {
+    private void writeComplete(DefaultFullHttpResponse answer) {
         begun = true;
-        boolean close = markClosing(answer.headers());
-        over();
+        boolean close = setConnectionHeader(answer.headers());
+        markEnded();
         ChannelFuture written = channel.writeAndFlush(answer);
-        closeOrGoOn(written, close);
+        finishWhenWritten(written, close);
     }
 
-    private boolean markClosing(HttpHeaders headers) {
+    private boolean setConnectionHeader(HttpHeaders headers) {
         boolean close = closing || !keepAlive;
         if (close) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -186,15 +186,16 @@
         return close;
     }
 
-    private void closeOrGoOn(ChannelFuture written, boolean close) {
+    private void finishWhenWritten(ChannelFuture written, boolean close) {
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
-        // Until it is written the request is under way: neither the process nor the next request may come between.
+        // The request stays in progress until its answer is written, so that neither the next request nor the end of
+        // the process interferes.
         written.addListener(done -> finish());
     }
 
-    /** Begins an answer whose body follows in pieces. */
+    /** Begins an answer whose body follows in parts. */
     public void begin(HttpResponse head) {
         if (ended) {
             return;
@@ -202,7 +203,7 @@
         begun = true;
         HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
         answer.headers().set(head.headers());
-        HopHeaders.remove(answer.headers());
+        HopByHopHeaders.remove(answer.headers());
         answer.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
         chunked = request.protocolVersion().isKeepAliveDefault();
         if (chunked) {
@@ -210,57 +211,61 @@
         } else {
             closing = true;
         }
-        closing = markClosing(answer.headers());
+        closing = setConnectionHeader(answer.headers());
         channel.write(answer);
     }
 
-    /** Gives a piece of the body and takes it over. */
-    public void piece(ByteBuf piece) {
+    /** Sends a part of the body. Takes ownership of the buffer. */
+    public void writeBody(ByteBuf part) {
         if (ended) {
-            piece.release();
+            part.release();
             return;
         }
-        channel.writeAndFlush(new DefaultHttpContent(piece));
+        channel.writeAndFlush(new DefaultHttpContent(part));
     }
 
-    /** Ends the body: the answer is complete. */
+    /** Ends the body and so completes the answer. */
     public void end() {
         if (ended) {
             return;
         }
-        over();
+        markEnded();
         ChannelFuture written = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-        closeOrGoOn(written, closing);
+        finishWhenWritten(written, closing);
     }
 
-    /** Breaks off an answer that was begun. */
-    public void cut(String why) {
+    /**
+     * Aborts the answer by closing the connection.
+     *
+     * @param why the reason, for the log
+     */
+    public void abort(String why) {
         if (ended) {
             return;
         }
         logger.atInfo().log("event=answer-cut request=%s age_ms=%d why=%s", facts.id(), ageMillis(), why);
-        over();
+        markEnded();
         if (begun && !chunked && channel.isActive()) {
-            // Only the connection's end ends this body: a reset can't be taken for it.
+            // The end of the connection marks the end of this body. A reset cannot be mistaken for it.
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
         channel.close();
         finish();
     }
 
-    /** Drops a request that has never been begun. */
-    void drop() {
-        over();
+    /** Discards a request that was never routed. */
+    void discard() {
+        markEnded();
         body.release();
     }
 
-    private void over() {
+    private void markEnded() {
         ended = true;
         endedAt = System.nanoTime();
     }
 
-    /** The process ends: the caller gets the truest answer that there is by now. */
-    void processStops() {
+    /** Ends the answer because the process ends: the shutdown callback may still send one; otherwise it is aborted. */
+    void endForShutdown() {
         if (ended) {
             logger.atWarning().log(
                     "event=cut-by-stop request=%s age_ms=%d answer_begun=true unread=true", facts.id(), ageMillis());
@@ -268,11 +273,11 @@
         }
         logger.atWarning().log(
                 "event=cut-by-stop request=%s age_ms=%d answer_begun=%s", facts.id(), ageMillis(), begun);
-        Runnable call = whenStopped;
+        Runnable call = onShutdown;
         if (call != null) {
             call.run();
         }
-        cut("the process stops");
+        abort("the process stops");
     }
 
     private void finish() {
--- /dev/null
+++ b/gateway/src/main/java/org/quetzalseam/gateway/entry/EntryRegistry.java
@@ -0,0 +1,168 @@
+package org.quetzalseam.gateway.entry;
+
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import com.google.common.flogger.FluentLogger;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import java.util.stream.Collectors;
+import org.jspecify.annotations.Nullable;
+import org.quetzalseam.gateway.runtime.Timers;
+import org.quetzalseam.gateway.store.ObjectPage;
+import org.quetzalseam.gateway.store.ObjectStore;
+import org.quetzalseam.gateway.store.StoreFailure;
+import org.quetzalseam.gateway.store.StoredObject;
+
+/**
+ * Registers this entry's name in the platform's store and counts the entries that share the site's budgets. Used on the event
+ * loop only.
+ *
+ * <p>The names of killed entries stay in the store, so the count may be too high, but is not too low for long: a budget
+ * share that is computed from it is then too small, never too large. A newly registered entry waits before its first count,
+ * so that entries that start at the same time are registered as well, and does not count from a stale list. A name that is
+ * missing from the store is registered again. After the store was restored from an older copy, the other entries get time
+ * to register again before the count may fall.
+ */
+public final class EntryRegistry {
+    private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+    /** Kind of the store objects that hold the names of entries. */
+    private static final String KIND = "quetzalseam-entries";
+    /**
+     * Interval between two counts at a small site, in milliseconds: entries come and go within minutes, and each call to
+     * the store has a cost.
+     */
+    private static final long COUNT_INTERVAL_MILLIS = 5_000;
+    /**
+     * Delay between the registration of a new name and the first count, in milliseconds: processes that start together
+     * differ by less.
+     */
+    private static final long FIRST_COUNT_DELAY_MILLIS = 1_000;
+    /**
+     * Number of entries for which the time between two counts grows by one interval: a name takes some 150 bytes of a list, so
+     * counting reads at most 0.6 KB a second, however many entries there are.
+     */
+    private static final int ENTRIES_PER_EXTRA_INTERVAL = 20;
+    /**
+     * Time after a restore of the store from an older copy during which the count may not fall, in nanoseconds: each entry
+     * notices the restore within one interval and registers its name in the next one at the latest.
+     */
+    private static final long RESTORE_HOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(2 * COUNT_INTERVAL_MILLIS);
+
+    private final Timers timers;
+    private final ObjectStore store;
+    private final String self;
+    private final Consumer<EntryCount> listener;
+    private boolean registered;
+    private @Nullable EntryCount lastCount;
+    private int ticksUntilCount;
+    private long era;
+    private boolean storeWasRestored;
+    private long restoredAtNanos;
+
+    /**
+     * Creates a registry that does not count before {@link #start}.
+     *
+     * @param timers the event loop's timers
+     * @param store the platform's store
+     * @param self this entry's name
+     * @param listener receives the number of entries and the rank of this one whenever either changes
+     */
+    public EntryRegistry(Timers timers, ObjectStore store, String self, Consumer<EntryCount> listener) {
+        this.timers = timers;
+        this.store = store;
+        this.self = self;
+        this.listener = listener;
+    }
+
+    /** Registers this entry's name and starts to count. */
+    public void start() {
+        tick();
+        timers.every(COUNT_INTERVAL_MILLIS, this::tick);
+    }
+
+    private void tick() {
+        updateEra(store.position().era());
+        if (!registered) {
+            register();
+        } else if (ticksUntilCount > 0) {
+            ticksUntilCount--;
+        } else {
+            EntryCount last = lastCount;
+            ticksUntilCount = last == null ? 0 : last.entries() / ENTRIES_PER_EXTRA_INTERVAL;
+            countFromRecentList();
+        }
+    }
+
+    private void register() {
+        store.create(
+                KIND,
+                self,
+                JsonNodeFactory.instance.objectNode(),
+                object -> {
+                    markRegistered();
+                    timers.after(FIRST_COUNT_DELAY_MILLIS, this::countFromNewestList);
+                },
+                this::registerFailed);
+    }
+
+    private void registerFailed(StoreFailure failure) {
+        if (failure.kind() == StoreFailure.Kind.CONFLICT) {
+            markRegistered();
+            countFromRecentList();
+        } else {
+            countFailed(failure);
+        }
+    }
+
+    private void markRegistered() {
+        registered = true;
+        era = store.position().era();
+    }
+
+    private void countFromNewestList() {
+        store.list(KIND, null, this::handlePage, EntryRegistry::countFailed);
+    }
+
+    private void countFromRecentList() {
+        store.listRecent(KIND, this::handlePage, EntryRegistry::countFailed);
+    }
+
+    private static void countFailed(StoreFailure failure) {
+        logger.atInfo().log("event=census-failed kind=%s detail=\"%s\"", failure.kind(), failure.detail());
+    }
+
+    private void updateEra(long currentEra) {
+        if (registered && currentEra != era) {
+            logger.atInfo().log("event=census-restored era_before=%d era=%d", era, currentEra);
+            registered = false;
+            storeWasRestored = true;
+            restoredAtNanos = timers.now();
+        }
+        era = currentEra;
+    }
+
+    private void handlePage(ObjectPage page) {
+        updateEra(page.position().era());
+        Set<String> names = page.objects().stream().map(StoredObject::name).collect(Collectors.toSet());
+        if (names.add(self)) {
+            // The name was removed, or the list is stale. This entry is running, and registering it again does no harm.
+            registered = false;
+        }
+        int rank = (int) names.stream().filter(name -> name.compareTo(self) < 0).count();
+        EntryCount count = new EntryCount(names.size(), rank);
+        if (count.equals(lastCount) || mayBeTooLow(count)) {
+            return;
+        }
+        lastCount = count;
+        logger.atInfo().log("event=entries-counted entries=%d rank=%d", count.entries(), count.rank());
+        listener.accept(count);
+    }
+
+    private boolean mayBeTooLow(EntryCount newCount) {
+        EntryCount last = lastCount;
+        return last != null
+                && newCount.entries() < last.entries()
+                && storeWasRestored
+                && timers.now() - restoredAtNanos < RESTORE_HOLD_NANOS;
+    }
+}
