--- a/gateway/src/main/java/org/quetzalseam/gateway/http/Connector.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/Connector.java
@@ -14,22 +14,30 @@
 
 /** Opens HTTP connections on one event loop. */
 public final class Connector {
-    /** How long a connection may take to open: some hundred round trips inside a region, and far below any objective. */
-    private static final int CONNECT_MILLIS = 400;
-    /** Longest first line and longest header section of a reply, in bytes. */
+    /**
+     * How long a connection may take to open, in milliseconds: some hundred round trips inside a region, and far below any
+     * latency objective.
+     */
+    private static final int CONNECT_TIMEOUT_MILLIS = 400;
+    /** Longest status line and longest header section of a reply, in bytes. */
     private static final int MAX_HEAD_BYTES = 64 * 1024;
-    /** Largest piece of a body handed on at once, in bytes. */
-    private static final int PIECE_BYTES = 16 * 1024;
+    /** Largest part of a body that is decoded at once, in bytes. */
+    private static final int MAX_CHUNK_BYTES = 16 * 1024;
 
-    private static final HttpDecoderConfig DECODING = new HttpDecoderConfig()
+    private static final HttpDecoderConfig DECODER_CONFIG = new HttpDecoderConfig()
             .setMaxInitialLineLength(MAX_HEAD_BYTES)
             .setMaxHeaderSize(MAX_HEAD_BYTES)
-            .setMaxChunkSize(PIECE_BYTES);
+            .setMaxChunkSize(MAX_CHUNK_BYTES);
 
     private final EventLoop loop;
     private final String idHeader;
 
-    /** Creates a connector; replies repeat the request's id in the given header. */
+    /**
+     * Creates a connector.
+     *
+     * @param loop the event loop that all connections run on
+     * @param idHeader the header in which replies repeat the request's id
+     */
     public Connector(EventLoop loop, String idHeader) {
         this.loop = loop;
         this.idHeader = idHeader;
@@ -40,49 +48,49 @@
         return loop;
     }
 
-    /** What becomes of an attempt to connect. */
-    public interface Opened {
-        /** The connection is open. */
+    /** Receives the outcome of an attempt to connect. */
+    public interface ConnectListener {
+        /** Called when the connection is open. */
         void connected(HttpConnection connection);
 
-        /** No connection could be opened. */
-        void refused(CallFailure failure);
+        /** Called when no connection could be opened. */
+        void failed(CallFailure failure);
     }
 
     /**
      * Opens a connection.
      *
-     * @param address where to
+     * @param address the address to connect to
      * @param onIdle called when the connection has carried an exchange and can carry another
-     * @param onClosed called when an opened connection has ended
-     * @param opened takes the outcome
+     * @param onClosed called when an opened connection has closed
+     * @param listener receives the outcome
      */
     public void connect(
             InetSocketAddress address,
             Consumer<HttpConnection> onIdle,
             Consumer<HttpConnection> onClosed,
-            Opened opened) {
+            ConnectListener listener) {
         HttpConnection connection = new HttpConnection(idHeader, onIdle, onClosed);
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.SO_KEEPALIVE, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(DECODING, false, false))
+                                .addLast(new HttpClientCodec(DECODER_CONFIG, false, false))
                                 .addLast(connection);
                     }
                 });
         ChannelFuture connecting = bootstrap.connect(address);
         connecting.addListener(done -> {
             if (done.isSuccess()) {
-                opened.connected(connection);
+                listener.connected(connection);
             } else {
-                opened.refused(new CallFailure(CallFailure.Kind.NOT_CONNECTED, String.valueOf(done.cause())));
+                listener.failed(new CallFailure(CallFailure.Kind.NOT_CONNECTED, String.valueOf(done.cause())));
             }
         });
     }
--- /dev/null
+++ b/gateway/src/main/java/org/quetzalseam/gateway/http/ListeningSockets.java
@@ -0,0 +1,31 @@
+package org.quetzalseam.gateway.http;
+
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import java.net.InetSocketAddress;
+
+/** Opens listening sockets. Stateless. */
+public final class ListeningSockets {
+    private ListeningSockets() {}
+
+    /**
+     * Opens a socket that listens on an address. For port 0 the operating system chooses a port. Blocks until the socket is
+     * bound.
+     *
+     * @throws GatewayException if the process cannot listen on the address
+     */
+    public static Channel bind(ServerBootstrap bootstrap, InetSocketAddress address) {
+        ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
+        if (!bound.isSuccess()) {
+            String why = "cannot listen on " + address + ": " + bound.cause().getMessage();
+            throw new GatewayException(GatewayException.Code.ADDRESS_UNUSABLE, why, bound.cause());
+        }
+        return bound.channel();
+    }
+
+    /** Returns the address that a bound channel listens on, with the port in use. */
+    public static InetSocketAddress localAddress(Channel bound) {
+        return (InetSocketAddress) bound.localAddress();
+    }
+}
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/DecodeReply.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/DecodeReply.java
@@ -9,37 +9,37 @@
 import org.quetzalseam.gateway.protocol.Protocol;
 import org.quetzalseam.gateway.protocol.ReplyFacts;
 
-/** Takes a decode engine's reply: a stream of events, or a whole answer that isn't one. */
+/** Receives a decode engine's reply: a stream of events, or a complete answer that is not a stream. */
 final class DecodeReply implements ReplyListener {
     private static final int MAX_ANSWER_BYTES = 1024 * 1024;
 
-    /** What the reply turns out to be. */
-    interface Outcome {
-        /** A stream begins. */
+    /** Receives the parsed reply. */
+    interface Listener {
+        /** Called when a stream begins. */
         void begun(HttpResponse head);
 
-        /** A piece of the stream; the taker releases it. */
+        /** Called with each piece of the stream; the listener releases it. */
         void piece(ByteBuf piece);
 
-        /** The stream has ended as its engine meant it to. */
+        /** Called when the engine has ended the stream regularly. */
         void streamEnded();
 
-        /** A whole answer that is no stream; the taker releases the body. */
+        /** Called with a complete answer that is not a stream; the listener releases the body. */
         void answered(HttpResponse head, ByteBuf body);
 
-        /** The reply ended before its time. */
+        /** Called when the reply ended prematurely. */
         void failed(CallFailure failure);
     }
 
     private final Protocol protocol;
-    private final Outcome outcome;
-    private final ByteBuf whole = Unpooled.buffer();
+    private final Listener listener;
+    private final ByteBuf bufferedBody = Unpooled.buffer();
     private @Nullable HttpResponse head;
     private boolean streaming;
 
-    DecodeReply(Protocol protocol, Outcome outcome) {
+    DecodeReply(Protocol protocol, Listener listener) {
         this.protocol = protocol;
-        this.outcome = outcome;
+        this.listener = listener;
     }
 
     @Override
@@ -48,18 +48,18 @@
         ReplyFacts facts = protocol.facts(response);
         streaming = response.status().code() == 200 && facts.signed() && !facts.notRun();
         if (streaming) {
-            outcome.begun(response);
+            listener.begun(response);
         }
     }
 
     @Override
     public void body(ByteBuf piece) {
         if (streaming) {
-            outcome.piece(piece);
+            listener.piece(piece);
             return;
         }
-        if (whole.readableBytes() + piece.readableBytes() <= MAX_ANSWER_BYTES) {
-            whole.writeBytes(piece);
+        if (bufferedBody.readableBytes() + piece.readableBytes() <= MAX_ANSWER_BYTES) {
+            bufferedBody.writeBytes(piece);
         }
         piece.release();
     }
@@ -71,14 +71,14 @@
             return;
         }
         if (streaming) {
-            outcome.streamEnded();
+            listener.streamEnded();
         } else {
-            outcome.answered(response, whole);
+            listener.answered(response, bufferedBody);
         }
     }
 
     @Override
     public void failed(CallFailure failure) {
-        outcome.failed(failure);
+        listener.failed(failure);
     }
 }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RequestRouter.java
@@ -18,31 +18,37 @@
 import org.quetzalseam.gateway.operator.GatewayMetrics;
 import org.quetzalseam.gateway.protocol.Protocol;
 import org.quetzalseam.gateway.runtime.Timers;
-import org.quetzalseam.gateway.store.KindKnowledge;
+import org.quetzalseam.gateway.store.KindFreshness;
 
 /** Finds the route of each request and starts its run. Used on the event loop only. */
 public final class RequestRouter {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** When to come back to an entry that doesn't know its routes yet: about its time to start, in milliseconds. */
-    private static final long STARTING_MILLIS = 500;
-    /** When to come back to an entry that can't know whether a route exists: it asks the store some times a second. */
-    private static final long IN_DOUBT_MILLIS = 500;
+    /**
+     * Retry-after time while the entry does not know its routes yet, in milliseconds: about the time that it needs to
+     * start.
+     */
+    private static final long STARTING_RETRY_AFTER_MILLIS = 500;
+    /**
+     * Retry-after time while the entry cannot know whether a route exists, in milliseconds: it asks the store several times
+     * a second.
+     */
+    private static final long IN_DOUBT_RETRY_AFTER_MILLIS = 500;
 
     private final RunContext context;
-    private final WaitingRequests early;
-    private final WaitingRequests inDoubt;
+    private final WaitingRequests earlyRequests;
+    private final WaitingRequests requestsInDoubt;
     private @Nullable RouteTable routes;
-    private @Nullable KindKnowledge knowledge;
+    private @Nullable KindFreshness knowledge;
 
     /** Creates a router that knows no routes yet. */
     public RequestRouter(
             Timers timers, Protocol protocol, Directory directory, EntrySettings settings, GatewayMetrics metrics) {
         this.context = new RunContext(timers, protocol, directory, settings, metrics);
-        this.early = new WaitingRequests(context, this::refuseEarly);
-        this.inDoubt = new WaitingRequests(context, this::refuseInDoubt);
+        this.earlyRequests = new WaitingRequests(context, this::refuseEarly);
+        this.requestsInDoubt = new WaitingRequests(context, this::refuseInDoubt);
     }
 
-    /** Takes a version of the desired state, unless it is older than the one in force. */
+    /** Puts a version of the desired state in force, unless it is not newer than the one in force. */
     public void update(RouteTable table) {
         RouteTable present = routes;
         if (present != null && present.version() >= table.version()) {
@@ -51,21 +57,21 @@
         }
         routes = table;
         context.services(table.services());
-        logger.atInfo().log("event=desired-state version=%d routes=%d", table.version(), table.routes());
-        routeEarly();
+        logger.atInfo().log("event=desired-state version=%d routes=%d", table.version(), table.routeCount());
+        routeEarlyRequests();
     }
 
-    /** Takes what tells how well the desired state is known. */
-    public void knowledge(KindKnowledge desiredState) {
+    /** Sets the source that states how current the known desired state is. */
+    public void knowledge(KindFreshness desiredState) {
         knowledge = desiredState;
     }
 
-    /** Takes settings that were read again. */
+    /** Applies settings that were read again. */
     public void update(EntrySettings settings) {
         context.settings(settings);
     }
 
-    /** Takes the number of entries that share the site's budgets. */
+    /** Sets the number of entries that share the site's budgets, and this entry's rank. */
     public void entries(EntryCount counted) {
         context.entries(counted);
     }
@@ -76,102 +82,105 @@
         return table == null ? 0 : table.version();
     }
 
-    /** Returns whether the entry can serve: it knows its routes and its endpoints. */
+    /** Returns whether the entry can serve requests: it knows its routes and its endpoints. */
     public boolean ready() {
-        return routes != null && context.directory().known();
+        return routes != null && context.directory().loaded();
     }
 
-    /** Returns what callers may send. */
+    /** Returns the limits on what callers may send. */
     public CallerLimits limits() {
         RouteTable table = routes;
         return table == null ? CallerLimits.DEFAULT : table.limits();
     }
 
-    /** From now on takes only what can end in the rest of the grace period. */
-    public void leave(GracePeriod period) {
-        context.leave(period);
-        early.refuseAll();
-        inDoubt.refuseAll();
+    /** Starts draining: from now on accepts only requests that can end within the grace period. */
+    public void startDraining(GracePeriod period) {
+        context.startDraining(period);
+        earlyRequests.refuseAll();
+        requestsInDoubt.refuseAll();
     }
 
-    /** Answers a request. */
+    /** Routes a request and has it answered. */
     public void route(Exchange exchange) {
         RouteTable table = routes;
-        if (table == null || !context.directory().known()) {
-            // A process that has just started is asked before it has heard from the store; its callers needn't come
-            // back for that.
-            early.add(exchange);
+        if (table == null || !context.directory().loaded()) {
+            // A process that has just started gets requests before the first response from the store. It holds
+            // them briefly, so that the callers need not retry.
+            earlyRequests.add(exchange);
             return;
         }
         String host = exchange.request().headers().get(HttpHeaderNames.HOST, "");
         Optional<RouteRule> found = table.find(host, exchange.request().uri());
         if (found.isEmpty()) {
-            noRoute(exchange, host, table.version());
+            handleMissingRoute(exchange, host, table.version());
             return;
         }
         start(exchange, found.get(), table.version());
     }
 
-    /** A route may have been added since the store was last heard of, so only who knows the newest state denies one. */
-    private void noRoute(Exchange exchange, String host, long version) {
-        KindKnowledge told = knowledge;
-        if (told != null && !told.current()) {
-            inDoubt.add(exchange);
-            told.confirm(() -> decideDoubts(told.current()));
+    /**
+     * Answers that there is no route only if the newest state is known, because a route may have been added since the last
+     * response of the store.
+     */
+    private void handleMissingRoute(Exchange exchange, String host, long version) {
+        KindFreshness currentKnowledge = knowledge;
+        if (currentKnowledge != null && !currentKnowledge.current()) {
+            requestsInDoubt.add(exchange);
+            currentKnowledge.refresh(() -> resolveDoubts(currentKnowledge.current()));
             return;
         }
         logger.atInfo().log(
                 "event=no-route request=%s host=%s version=%d %s",
-                exchange.facts().id(), host, version, knowledgeInputs());
+                exchange.facts().id(), host, version, describeKnowledge());
         context.fail(exchange, HttpResponseStatus.NOT_FOUND, "no route");
     }
 
-    private void decideDoubts(boolean known) {
-        if (known) {
-            inDoubt.takeAll().forEach(this::route);
+    private void resolveDoubts(boolean current) {
+        if (current) {
+            requestsInDoubt.removeAll().forEach(this::route);
         } else {
-            inDoubt.refuseAll();
+            requestsInDoubt.refuseAll();
         }
     }
 
     private void refuseInDoubt(Exchange exchange) {
         logger.atInfo().log(
                 "event=route-in-doubt request=%s version=%d %s",
-                exchange.facts().id(), version(), knowledgeInputs());
-        context.refuse(exchange, "it can't be known now whether there is such a route", IN_DOUBT_MILLIS);
+                exchange.facts().id(), version(), describeKnowledge());
+        context.refuse(exchange, "it can't be known now whether there is such a route", IN_DOUBT_RETRY_AFTER_MILLIS);
     }
 
-    private String knowledgeInputs() {
-        KindKnowledge told = knowledge;
-        return told == null
+    private String describeKnowledge() {
+        KindFreshness currentKnowledge = knowledge;
+        return currentKnowledge == null
                 ? "word_age_ms=0"
                 : String.format(
                         Locale.ROOT,
                         "word_age_ms=%d era=%d revision=%d",
-                        told.ageMillis(),
-                        told.position().era(),
-                        told.position().revision());
+                        currentKnowledge.ageMillis(),
+                        currentKnowledge.position().era(),
+                        currentKnowledge.position().revision());
     }
 
     private void refuseEarly(Exchange exchange) {
         logger.atInfo().log("event=refused-early request=%s", exchange.facts().id());
-        context.refuse(exchange, "not ready yet", STARTING_MILLIS);
+        context.refuse(exchange, "not ready yet", STARTING_RETRY_AFTER_MILLIS);
     }
 
-    /** Routes the requests that came before the routes and the endpoints were known. Call it when either has been learnt. */
-    public void routeEarly() {
+    /** Routes the requests that arrived before the routes and the endpoints were known. Call it when either becomes known. */
+    public void routeEarlyRequests() {
         if (ready()) {
-            early.takeAll().forEach(this::route);
+            earlyRequests.removeAll().forEach(this::route);
         }
     }
 
     private void start(Exchange exchange, RouteRule route, long version) {
         if (!context.endsInTime(exchange, route)) {
-            context.refuseLeaving(exchange);
+            context.refuseDraining(exchange);
             return;
         }
         String service = route.serviceFor(ThreadLocalRandom.current().nextDouble());
-        context.retries(service).request(context.now());
+        context.retries(service).recordRequest(context.now());
         RunLog log = new RunLog(context.metrics(), exchange, route, service, version);
         if (route.kind() == CallKind.STREAM) {
             new GenerationRun(context, exchange, route, service, log).start();
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/RunContext.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
-import org.quetzalseam.core.drain.AnswerTime;
+import org.quetzalseam.core.drain.AnswerTimeModel;
 import org.quetzalseam.core.drain.GracePeriod;
 import org.quetzalseam.core.fleet.Stage;
-import org.quetzalseam.core.limits.CallerPatience;
 import org.quetzalseam.core.limits.ConnectionShare;
+import org.quetzalseam.core.limits.EarlierWaitEstimator;
 import org.quetzalseam.core.limits.RetryAllowance;
 import org.quetzalseam.core.routing.RouteRule;
 import org.quetzalseam.core.routing.ServiceRule;
@@ -26,12 +26,12 @@
 import org.quetzalseam.gateway.entry.EntryCount;
 import org.quetzalseam.gateway.operator.GatewayMetrics;
 import org.quetzalseam.gateway.protocol.Protocol;
-import org.quetzalseam.gateway.runtime.Subscription;
+import org.quetzalseam.gateway.runtime.ScheduledCall;
 import org.quetzalseam.gateway.runtime.Timers;
 
-/** What all requests of an entry share. Used on the event loop only. */
+/** Holds the state that all requests of an entry share. Used on the event loop only. */
 final class RunContext {
-    /** Why a leaving entry doesn't begin a request. */
+    /** Reason given when a draining entry refuses a request. */
     private static final String STOPS_SOONER = "this entry stops before the answer would end";
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -42,15 +42,15 @@
     private final GatewayMetrics metrics;
     private final long createdAt;
     private EntrySettings settings;
-    /** The entries that share the site; null until they have been counted. */
+    /** The number of entries that share the site; null before the first count. */
     private @Nullable EntryCount entries;
 
     private @Nullable GracePeriod grace;
     private List<ServiceRule> services = List.of();
     private final Map<String, RetryAllowance> retries = new HashMap<>();
-    private final Map<String, CallerPatience> patience = new HashMap<>();
-    private final Map<String, AnswerTime> answerTimes = new HashMap<>();
-    private final Map<String, ReservationDesk> desks = new HashMap<>();
+    private final Map<String, EarlierWaitEstimator> earlierWaits = new HashMap<>();
+    private final Map<String, AnswerTimeModel> answerTimes = new HashMap<>();
+    private final Map<String, BookingManager> bookings = new HashMap<>();
 
     RunContext(Timers timers, Protocol protocol, Directory directory, EntrySettings settings, GatewayMetrics metrics) {
         this.timers = timers;
@@ -77,11 +77,11 @@
         return settings;
     }
 
-    void settings(EntrySettings renewed) {
-        settings = renewed;
+    void settings(EntrySettings newSettings) {
+        settings = newSettings;
         retries.values()
-                .forEach(allowance ->
-                        allowance.change(renewed.retryRatio(), renewed.retrySlack(), windowNanos(renewed)));
+                .forEach(allowance -> allowance.updateBudget(
+                        newSettings.retryRatio(), newSettings.retrySlack(), windowNanos(newSettings)));
     }
 
     GatewayMetrics metrics() {
@@ -92,41 +92,42 @@
         return timers.now();
     }
 
-    Subscription after(long millis, Runnable call) {
+    ScheduledCall after(long millis, Runnable call) {
         return timers.after(millis, call);
     }
 
-    /** Takes one retry from this entry's share of the budget. Returns false when none is left. */
-    boolean takeRetry(String service) {
-        return takeRetries(service, 1);
+    /** Takes one retry from this entry's share of the retry budget. Returns false if none is left. */
+    boolean acquireRetry(String service) {
+        return acquireRetries(service, 1);
     }
 
     /**
-     * Takes what another turn of a generation costs: one retry for its run, and one for the reading of its prompt, as only the
-     * first reading of a request is free. Returns false when the budget has less.
+     * Takes the cost of another attempt of a generation from the retry budget: one retry for the run, and one for the
+     * prefill of its prompt, because only the first prefill of a request is free. Returns false if less is left in the
+     * budget.
      */
-    boolean takeTurn(String service) {
-        return takeRetries(service, arrivalsOfATurn(service));
+    boolean acquireAttempt(String service) {
+        return acquireRetries(service, arrivalsPerAttempt(service));
     }
 
-    private int arrivalsOfATurn(String service) {
+    private int arrivalsPerAttempt(String service) {
         return directory.usable(service, Stage.PREFILL).isEmpty() ? 1 : 2;
     }
 
-    private boolean takeRetries(String service, int count) {
-        boolean allowed = retries(service).retries(now(), count);
+    private boolean acquireRetries(String service, int count) {
+        boolean allowed = retries(service).tryRetries(now(), count);
         metrics.retry(service, allowed);
         return allowed;
     }
 
-    /** Returns the inputs of a decision on a retry at a service, for the log. */
-    String budget(String service) {
+    /** Returns the inputs of a retry decision at a service as {@code key=value} pairs for the log. */
+    String describeBudget(String service) {
         RetryAllowance.Inputs inputs = retries(service).inputs(now());
         EntryCount counted = entries;
         return String.format(
                 Locale.ROOT,
                 "budget_left=%d budget_requests=%d budget_retries=%d budget_slack=%.1f entries=%d up_ms=%d",
-                inputs.left(),
+                inputs.retriesLeft(),
                 inputs.requests(),
                 inputs.retries(),
                 inputs.slack(),
@@ -134,30 +135,33 @@
                 TimeUnit.NANOSECONDS.toMillis(inputs.upNanos()));
     }
 
-    /** Decides whether a request that has run so often may be sent again, and takes the retry if so. */
-    AnotherTry anotherTry(RouteRule route, String service, int runs) {
-        return anotherTry(route, service, runs, 1);
+    /**
+     * Decides whether a request that may have run the given number of times is sent again; if so, takes the retry from the
+     * budget.
+     */
+    RetryDecision decideRetry(RouteRule route, String service, int runs) {
+        return decideRetry(route, service, runs, 1);
     }
 
-    /** The same for a generation, which takes another turn from booking to decoding. */
-    AnotherTry anotherTurn(RouteRule route, String service, int runs) {
-        return anotherTry(route, service, runs, arrivalsOfATurn(service));
+    /** Decides the same for a generation, which needs another attempt from booking to decoding. */
+    RetryDecision decideAttempt(RouteRule route, String service, int runs) {
+        return decideRetry(route, service, runs, arrivalsPerAttempt(service));
     }
 
-    private AnotherTry anotherTry(RouteRule route, String service, int runs, int arrivals) {
+    private RetryDecision decideRetry(RouteRule route, String service, int runs, int arrivals) {
         if (!route.mayRepeat()) {
-            return AnotherTry.NOT_IDEMPOTENT;
+            return RetryDecision.NOT_IDEMPOTENT;
         }
         if (runs >= route.maxAttempts()) {
-            return AnotherTry.TRIES_USED_UP;
+            return RetryDecision.TRIES_USED_UP;
         }
-        return takeRetries(service, arrivals) ? AnotherTry.ALLOWED : AnotherTry.BUDGET_SPENT;
+        return acquireRetries(service, arrivals) ? RetryDecision.ALLOWED : RetryDecision.BUDGET_SPENT;
     }
 
     void entries(EntryCount counted) {
         entries = counted;
-        retries.values().forEach(allowance -> allowance.entries(counted.entries()));
-        desks.values().forEach(desk -> desk.entries(counted));
+        retries.values().forEach(allowance -> allowance.updateEntryCount(counted.entries()));
+        bookings.values().forEach(manager -> manager.entries(counted));
         shareConnections();
     }
 
@@ -170,7 +174,7 @@
         EntryCount counted = entries;
         int sharing = counted == null ? 0 : counted.entries();
         for (ServiceRule service : services) {
-            directory.mostConnections(service.name(), ConnectionShare.of(service.maxConnections(), sharing));
+            directory.maxConnections(service.name(), ConnectionShare.of(service.maxConnections(), sharing));
         }
     }
 
@@ -183,7 +187,7 @@
                 new RetryAllowance(settings.retryRatio(), settings.retrySlack(), windowNanos(settings), createdAt);
         EntryCount counted = entries;
         if (counted != null) {
-            allowance.entries(counted.entries());
+            allowance.updateEntryCount(counted.entries());
         }
         return allowance;
     }
@@ -192,84 +196,87 @@
         return TimeUnit.MILLISECONDS.toNanos(settings.retryWindowMillis());
     }
 
-    CallerPatience patience(String route) {
-        return patience.computeIfAbsent(route, name -> new CallerPatience());
+    EarlierWaitEstimator earlierWaits(String route) {
+        return earlierWaits.computeIfAbsent(route, name -> new EarlierWaitEstimator());
     }
 
-    /** Notes that the process has been told to stop. Being told again doesn't put the end off. */
-    void leave(GracePeriod period) {
+    /** Starts draining because the process is to stop. Further calls have no effect and do not postpone the end. */
+    void startDraining(GracePeriod period) {
         if (grace == null) {
             grace = period;
         }
     }
 
-    boolean leaving() {
+    boolean draining() {
         return grace != null;
     }
 
     /**
-     * Returns whether a request that begins now ends before this process does. One that doesn't would be cut, and its caller
-     * couldn't tell whether it has run; refused, it goes elsewhere.
+     * Returns whether a request that begins now is expected to end before this process does. Otherwise it would be cut, and
+     * its caller could not know whether it has run; if it is refused, the caller can retry elsewhere.
      */
     boolean endsInTime(Exchange exchange, RouteRule route) {
         GracePeriod period = grace;
         if (period == null) {
             return true;
         }
-        long limit = new ForwardedRequest(exchange, protocol, route).leftMillis();
-        long usual = answerTime(route).boundMillis(exchange.facts().estimate(), period.certainty(now()));
-        long bound = Math.min(limit, usual);
-        if (period.take(now(), bound)) {
+        long remainingMillis = new ForwardedRequest(exchange, protocol, route).remainingMillis();
+        long usualMillis = answerTime(route).boundMillis(exchange.facts().estimate(), period.requiredDeviations(now()));
+        long boundMillis = Math.min(remainingMillis, usualMillis);
+        if (period.accept(now(), boundMillis)) {
             return true;
         }
         logger.atInfo().log(
                 "event=refused-leaving request=%s bound_ms=%d left_ms=%d age_ms=%d",
-                exchange.facts().id(), bound, period.leftMillis(now()), exchange.ageMillis());
+                exchange.facts().id(), boundMillis, period.remainingMillis(now()), exchange.ageMillis());
         return false;
     }
 
-    /** Returns what is known of the time that a route's answers take. */
-    AnswerTime answerTime(RouteRule route) {
-        return answerTimes.computeIfAbsent(route.name(), name -> new AnswerTime());
+    /** Returns the statistics of the answer times of a route. */
+    AnswerTimeModel answerTime(RouteRule route) {
+        return answerTimes.computeIfAbsent(route.name(), name -> new AnswerTimeModel());
     }
 
-    ReservationDesk desk(String service) {
-        return desks.computeIfAbsent(service, this::newDesk);
+    BookingManager bookings(String service) {
+        return bookings.computeIfAbsent(service, this::newBookingManager);
     }
 
-    private ReservationDesk newDesk(String service) {
-        ReservationDesk desk = new ReservationDesk(this, service);
+    private BookingManager newBookingManager(String service) {
+        BookingManager manager = new BookingManager(this, service);
         EntryCount counted = entries;
         if (counted != null) {
-            desk.entries(counted);
+            manager.entries(counted);
         }
-        return desk;
+        return manager;
     }
 
-    /** Refuses a request because this entry stops before it would end. */
-    void refuseLeaving(Exchange exchange) {
-        GracePeriod period = Objects.requireNonNull(grace, "not leaving");
-        refusal(exchange, STOPS_SOONER, period.comeBackMillis(now(), draw()));
+    /** Refuses a request because this entry stops before the request would end. */
+    void refuseDraining(Exchange exchange) {
+        GracePeriod period = Objects.requireNonNull(grace, "the entry is not draining");
+        answerRefused(exchange, STOPS_SOONER, period.retryAfterMillis(now(), random()));
     }
 
-    /** Refuses a request that has not run and won't, and says when to come back. */
-    void refuse(Exchange exchange, String why, long comeBackMillis) {
+    /** Refuses a request that has not run and will not run, with the time after which to retry. */
+    void refuse(Exchange exchange, String why, long retryAfterMillis) {
         GracePeriod period = grace;
-        refusal(exchange, why, period == null ? comeBackMillis : period.comeBackMillis(now(), draw(), comeBackMillis));
+        answerRefused(
+                exchange,
+                why,
+                period == null ? retryAfterMillis : period.retryAfterMillis(now(), random(), retryAfterMillis));
     }
 
-    private static double draw() {
+    private static double random() {
         return ThreadLocalRandom.current().nextDouble();
     }
 
-    private void refusal(Exchange exchange, String why, long comeBack) {
-        metrics.refused(why);
+    private void answerRefused(Exchange exchange, String why, long retryAfterMillis) {
+        metrics.requestRefused(why);
         HttpHeaders headers = new DefaultHttpHeaders();
-        protocol.comeBackAfter(headers, comeBack);
+        protocol.setRetryAfter(headers, retryAfterMillis);
         exchange.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, why, headers);
     }
 
-    /** Tells of a failure that says nothing of whether the request has run. */
+    /** Answers with a failure that does not state whether the request has run. */
     void fail(Exchange exchange, HttpResponseStatus status, String why) {
         exchange.answer(status, why, new DefaultHttpHeaders());
     }
--- a/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/route/ServiceRun.java
@@ -17,28 +17,28 @@
 import org.quetzalseam.gateway.endpoint.Endpoint;
 import org.quetzalseam.gateway.endpoint.EndpointCall;
 import org.quetzalseam.gateway.http.CallFailure;
-import org.quetzalseam.gateway.http.WholeReply;
+import org.quetzalseam.gateway.http.ReplyCollector;
 import org.quetzalseam.gateway.protocol.Forwarding;
 import org.quetzalseam.gateway.protocol.ReplyFacts;
-import org.quetzalseam.gateway.runtime.Subscription;
+import org.quetzalseam.gateway.runtime.ScheduledCall;
 
 /**
- * One call of a plain service, whose answer is passed on when it is whole. Used on the event loop only.
+ * Runs one call of a plain service and forwards the answer when it is complete. Used on the event loop only.
  *
- * <p>A request that may have run is sent again only where it is idempotent; one that an endpoint has turned away, or that
- * never left this process, may go to another endpoint in any case.
+ * <p>A request that may have run is sent again only if it is idempotent. A request that an endpoint has refused, or that
+ * never left this process, may be sent to another endpoint in any case.
  */
 final class ServiceRun {
-    /** Longest answer that is collected, in bytes; a plain service's answers are some kilobytes long. */
+    /** Longest answer that is buffered, in bytes; a plain service's answers are some kilobytes long. */
     private static final int MAX_ANSWER_BYTES = 8 * 1024 * 1024;
-    /** Endpoints that may turn a request away before the caller is told that the service is full. */
+    /** Number of refusals by endpoints after which the caller is refused because the service is full. */
     private static final int MAX_REJECTIONS = 3;
-    /** Connections that may fail to open before the caller is told. */
-    private static final int MAX_UNREACHED = 3;
-    /** When to come back to a service that is full: a few times its usual time to answer, in milliseconds. */
-    private static final long FULL_MILLIS = 300;
-    /** Part of the time left that the first of several tries may use. */
-    private static final double TRY_SHARE = 0.5;
+    /** Number of connections that may fail to open before the caller is refused. */
+    private static final int MAX_CONNECT_FAILURES = 3;
+    /** Retry-after time of a full service, in milliseconds: a few times its usual answer time. */
+    private static final long FULL_RETRY_AFTER_MILLIS = 300;
+    /** Share of the remaining time that an attempt may use if another one may follow. */
+    private static final double ATTEMPT_TIME_SHARE = 0.5;
 
     private final RunContext context;
     private final Exchange exchange;
@@ -46,14 +46,14 @@
     private final String service;
     private final RunLog log;
     private final ForwardedRequest forwarded;
-    private final Set<Endpoint> tried = new HashSet<>();
+    private final Set<Endpoint> triedEndpoints = new HashSet<>();
     private @Nullable EndpointCall call;
-    private @Nullable Endpoint asked;
-    private @Nullable Subscription tryTimer;
-    private @Nullable Subscription deadlineTimer;
+    private @Nullable Endpoint currentEndpoint;
+    private @Nullable ScheduledCall attemptTimer;
+    private @Nullable ScheduledCall deadlineTimer;
     private int runs;
     private int rejections;
-    private int unreached;
+    private int connectFailures;
     private boolean mayHaveRun;
 
     ServiceRun(RunContext context, Exchange exchange, RouteRule route, String service, RunLog log) {
@@ -66,28 +66,28 @@
     }
 
     void start() {
-        exchange.whenGone(this::callerGone);
-        exchange.whenStopped(this::processStops);
-        deadlineTimer = context.after(forwarded.leftMillis(), this::deadlinePassed);
+        exchange.onCallerDisconnected(this::callerDisconnected);
+        exchange.onShutdown(this::entryStopping);
+        deadlineTimer = context.after(forwarded.remainingMillis(), this::deadlinePassed);
         sendToNext();
     }
 
     private Optional<Endpoint> choose() {
         long now = context.now();
         List<Endpoint> usable = context.directory().usable(service, Stage.WHOLE);
-        Comparator<Endpoint> order = Comparator.<Endpoint, Boolean>comparing(tried::contains)
-                .thenComparing(endpoint -> endpoint.health().suspect(now))
+        Comparator<Endpoint> order = Comparator.<Endpoint, Boolean>comparing(triedEndpoints::contains)
+                .thenComparing(endpoint -> endpoint.health().isSuspect(now))
                 .thenComparingDouble(ServiceRun::expectedMillis)
                 .thenComparing(endpoint ->
                         !endpoint.member().zone().equals(context.settings().zone()))
                 .thenComparing(endpoint -> ThreadLocalRandom.current().nextInt());
-        return usable.stream().filter(Endpoint::reachable).min(order);
+        return usable.stream().filter(Endpoint::hasFreeConnection).min(order);
     }
 
     private static double expectedMillis(Endpoint endpoint) {
         return endpoint.outstanding() == 0
                 ? 0
-                : endpoint.outstanding() * endpoint.health().millis();
+                : endpoint.outstanding() * endpoint.health().responseMillis();
     }
 
     private void sendToNext() {
@@ -100,43 +100,44 @@
     }
 
     private void send(Endpoint endpoint) {
-        tried.add(endpoint);
-        asked = endpoint;
-        HttpRequest head = forwarded.head(Forwarding.whole(endpoint.member().id(), forwarded.leftMillis()));
+        triedEndpoints.add(endpoint);
+        currentEndpoint = endpoint;
+        HttpRequest head = forwarded.head(Forwarding.whole(endpoint.member().id(), forwarded.remainingMillis()));
         long sentAt = context.now();
-        WholeReply reply = new WholeReply(
+        ReplyCollector reply = new ReplyCollector(
                 MAX_ANSWER_BYTES,
                 (answer, body) -> answered(endpoint, answer, body, sentAt),
                 failure -> failed(endpoint, failure));
-        if (mayTryAgain()) {
-            tryTimer = context.after((long) (forwarded.leftMillis() * TRY_SHARE), () -> tryTimedOut(endpoint));
+        if (mayRepeat()) {
+            attemptTimer = context.after(
+                    (long) (forwarded.remainingMillis() * ATTEMPT_TIME_SHARE), () -> attemptTimedOut(endpoint));
         }
         call = endpoint.send(head, exchange.body(), exchange.facts().id(), reply);
     }
 
-    private boolean mayTryAgain() {
+    private boolean mayRepeat() {
         return route.mayRepeat() && runs + 1 < route.maxAttempts();
     }
 
-    private void tryTimedOut(Endpoint endpoint) {
+    private void attemptTimedOut(Endpoint endpoint) {
         EndpointCall slow = call;
         if (exchange.ended() || slow == null) {
             return;
         }
         slow.cancel();
-        failed(endpoint, new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in this try's share of the time"));
+        failed(endpoint, new CallFailure(CallFailure.Kind.TIMED_OUT, "no answer in this attempt's share of the time"));
     }
 
-    private void stopTryTimer() {
-        Subscription timer = tryTimer;
+    private void stopAttemptTimer() {
+        ScheduledCall timer = attemptTimer;
         if (timer != null) {
             timer.cancel();
-            tryTimer = null;
+            attemptTimer = null;
         }
     }
 
     private void answered(Endpoint endpoint, HttpResponse answer, ByteBuf body, long sentAt) {
-        stopTryTimer();
+        stopAttemptTimer();
         ReplyFacts facts = context.protocol().facts(answer);
         if (facts.notRun()) {
             body.release();
@@ -147,54 +148,54 @@
         mayHaveRun = true;
         if (!facts.signed()) {
             body.release();
-            endpoint.health().failed(context.now());
-            unproved(endpoint, "unsigned answer " + answer.status().code());
+            endpoint.health().recordFailure(context.now());
+            retryOrReportUnknown(endpoint, "unsigned answer " + answer.status().code());
             return;
         }
         boolean serverFault = answer.status().code() >= 500;
         if (serverFault) {
-            endpoint.health().failed(context.now());
+            endpoint.health().recordFailure(context.now());
         } else {
-            endpoint.health().succeeded(context.now(), (context.now() - sentAt) / 1e6);
+            endpoint.health().recordSuccess(context.now(), (context.now() - sentAt) / 1e6);
         }
-        if (serverFault && context.anotherTry(route, service, runs) == AnotherTry.ALLOWED) {
+        if (serverFault && context.decideRetry(route, service, runs) == RetryDecision.ALLOWED) {
             body.release();
-            log.step("retry", endpoint, "status=" + answer.status().code() + " " + context.budget(service));
+            log.step("retry", endpoint, "status=" + answer.status().code() + " " + context.describeBudget(service));
             sendToNext();
             return;
         }
-        over("answered", answer.status().code());
+        finish("answered", answer.status().code());
         if (!serverFault) {
-            // A failure may come sooner than the answer that it stands for.
-            context.answerTime(route).ended(exchange.facts().estimate(), exchange.ageMillis());
+            // A failure is excluded because it may arrive sooner than the answer that it replaces.
+            context.answerTime(route).recordAnswer(exchange.facts().estimate(), exchange.ageMillis());
         }
         exchange.answer(answer, body);
     }
 
     private void rejected(Endpoint endpoint, int status) {
         rejections++;
-        log.rejected(endpoint, status, context.budget(service));
-        if (rejections < MAX_REJECTIONS && takeRetry()) {
+        log.rejected(endpoint, status, context.describeBudget(service));
+        if (rejections < MAX_REJECTIONS && acquireRetry()) {
             sendToNext();
         } else {
             giveUp("the service is full");
         }
     }
 
-    private boolean takeRetry() {
-        return context.takeRetry(service);
+    private boolean acquireRetry() {
+        return context.acquireRetry(service);
     }
 
     private void failed(Endpoint endpoint, CallFailure failure) {
-        stopTryTimer();
+        stopAttemptTimer();
         if (exchange.ended()) {
             return;
         }
-        endpoint.health().failed(context.now());
+        endpoint.health().recordFailure(context.now());
         log.callFailed("run", endpoint, failure);
         if (failure.nothingSent()) {
-            unreached++;
-            if (unreached < MAX_UNREACHED) {
+            connectFailures++;
+            if (connectFailures < MAX_CONNECT_FAILURES) {
                 sendToNext();
             } else {
                 giveUp("no endpoint can be reached");
@@ -203,75 +204,78 @@
         }
         runs++;
         mayHaveRun = true;
-        unproved(endpoint, "reply lost: " + failure.kind());
+        retryOrReportUnknown(endpoint, "reply lost: " + failure.kind());
     }
 
-    /** The request may have run, and there is no answer that can be passed on. */
-    private void unproved(Endpoint endpoint, String why) {
-        AnotherTry next = context.anotherTry(route, service, runs);
-        if (next == AnotherTry.ALLOWED) {
-            log.step("retry", endpoint, "why=\"" + why + "\" " + context.budget(service));
+    /** Handles a request that may have run, and for which there is no answer to forward: sends it again if that is allowed. */
+    private void retryOrReportUnknown(Endpoint endpoint, String why) {
+        RetryDecision decision = context.decideRetry(route, service, runs);
+        if (decision == RetryDecision.ALLOWED) {
+            log.step("retry", endpoint, "why=\"" + why + "\" " + context.describeBudget(service));
             sendToNext();
             return;
         }
-        log.triesEnd(why, next, context.budget(service));
-        over("unknown", HttpResponseStatus.BAD_GATEWAY.code());
+        log.attemptsEnded(why, decision, context.describeBudget(service));
+        finish("unknown", HttpResponseStatus.BAD_GATEWAY.code());
         context.fail(exchange, HttpResponseStatus.BAD_GATEWAY, "the endpoint gave no whole answer");
     }
 
-    /** No endpoint takes it now: a refusal if it has run nowhere. */
+    /**
+     * Ends the request because no endpoint accepts it now: with a refusal if it has run nowhere, else with an unknown
+     * outcome.
+     */
     private void giveUp(String why) {
         if (mayHaveRun) {
-            over("unknown", HttpResponseStatus.BAD_GATEWAY.code());
+            finish("unknown", HttpResponseStatus.BAD_GATEWAY.code());
             context.fail(exchange, HttpResponseStatus.BAD_GATEWAY, why);
             return;
         }
-        over("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
-        context.refuse(exchange, why, FULL_MILLIS);
+        finish("refused", HttpResponseStatus.SERVICE_UNAVAILABLE.code());
+        context.refuse(exchange, why, FULL_RETRY_AFTER_MILLIS);
     }
 
     private void deadlinePassed() {
         EndpointCall running = call;
         boolean sent = mayHaveRun || (running != null && running.sent());
-        Endpoint silent = asked;
-        if (silent != null && running != null && running.active()) {
-            silent.health().failed(context.now());
+        Endpoint unresponsive = currentEndpoint;
+        if (unresponsive != null && running != null && running.active()) {
+            unresponsive.health().recordFailure(context.now());
         }
         if (running != null) {
             running.cancel();
         }
         if (sent) {
-            over("timed-out", HttpResponseStatus.GATEWAY_TIMEOUT.code());
+            finish("timed-out", HttpResponseStatus.GATEWAY_TIMEOUT.code());
             context.fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT, "no answer in time");
         } else {
             giveUp("no endpoint in time");
         }
     }
 
-    private void processStops() {
+    private void entryStopping() {
         EndpointCall running = call;
         if (running != null) {
             running.cancel();
         }
         if (mayHaveRun || (running != null && running.sent())) {
-            over("stopped", HttpResponseStatus.BAD_GATEWAY.code());
+            finish("stopped", HttpResponseStatus.BAD_GATEWAY.code());
             context.fail(exchange, HttpResponseStatus.BAD_GATEWAY, "this entry stops");
         } else {
             giveUp("this entry stops");
         }
     }
 
-    private void callerGone() {
+    private void callerDisconnected() {
         EndpointCall running = call;
         if (running != null) {
             running.cancel();
         }
-        over("caller-gone", 0);
+        finish("caller-gone", 0);
     }
 
-    private void over(String outcome, int status) {
-        stopTryTimer();
-        Subscription timer = deadlineTimer;
+    private void finish(String outcome, int status) {
+        stopAttemptTimer();
+        ScheduledCall timer = deadlineTimer;
         if (timer != null) {
             timer.cancel();
         }
--- a/gateway/src/main/java/org/quetzalseam/gateway/runtime/Timers.java
+++ b/gateway/src/main/java/org/quetzalseam/gateway/runtime/Timers.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** Timed calls on one event loop. A call that throws is logged; one that repeats goes on. */
+/** Schedules calls on one event loop. A call that throws is logged; a repeated call is then still repeated. */
 public final class Timers {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final EventLoop loop;
-    private final LongSupplier steadyNanos;
+    private final LongSupplier monotonicNanos;
     private final LongSupplier wallMillis;
 
-    /** Creates timers of an event loop, by the machine's clocks. */
+    /** Creates timers of an event loop that use the system clocks. */
     public Timers(EventLoop loop) {
         this(loop, System::nanoTime, System::currentTimeMillis);
     }
@@ -22,39 +22,39 @@
     /**
      * Creates timers of an event loop.
      *
-     * @param loop the event loop
-     * @param steadyNanos the monotonic clock
-     * @param wallMillis the time of day, which may jump
+     * @param loop the event loop that runs the calls
+     * @param monotonicNanos the monotonic clock, in nanoseconds
+     * @param wallMillis the wall clock, in milliseconds, which may jump
      */
-    public Timers(EventLoop loop, LongSupplier steadyNanos, LongSupplier wallMillis) {
+    public Timers(EventLoop loop, LongSupplier monotonicNanos, LongSupplier wallMillis) {
         this.loop = loop;
-        this.steadyNanos = steadyNanos;
+        this.monotonicNanos = monotonicNanos;
         this.wallMillis = wallMillis;
     }
 
     /** Returns the monotonic time in nanoseconds. */
     public long now() {
-        return steadyNanos.getAsLong();
+        return monotonicNanos.getAsLong();
     }
 
-    /** Returns the time of day in milliseconds; it may jump. */
+    /** Returns the wall clock time in milliseconds, which may jump. */
     public long wallMillis() {
         return wallMillis.getAsLong();
     }
 
-    /** Calls as soon as what the loop is doing now has ended. */
+    /** Calls once, after the tasks that the event loop already has. */
     public void soon(Runnable call) {
         loop.execute(guarded(call));
     }
 
-    /** Calls once, after so many milliseconds. */
-    public Subscription after(long millis, Runnable call) {
+    /** Calls once, after a delay in milliseconds. */
+    public ScheduledCall after(long millis, Runnable call) {
         Future<?> scheduled = loop.schedule(guarded(call), Math.max(0, millis), TimeUnit.MILLISECONDS);
         return () -> scheduled.cancel(false);
     }
 
-    /** Calls again and again, with so many milliseconds from one call to the next. */
-    public Subscription every(long millis, Runnable call) {
+    /** Calls repeatedly, with a pause in milliseconds before each call. */
+    public ScheduledCall every(long millis, Runnable call) {
         Future<?> scheduled = loop.scheduleWithFixedDelay(guarded(call), millis, millis, TimeUnit.MILLISECONDS);
         return () -> scheduled.cancel(false);
     }
--- a/gateway/src/test/java/org/quetzalseam/gateway/EndOfLeavingTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/EntryShutdownTest.java
@@ -21,37 +21,37 @@
 import org.quetzalseam.core.fleet.Stage;
 import org.quetzalseam.standins.raw.RawRequest;
 
-/** What becomes of the requests that a leaving entry has, when it ends and when something goes wrong before that. */
+/** Tests what happens to the requests of a draining entry when it ends, and when something fails before that. */
 @Timeout(60)
-class EndOfLeavingTest {
-    private static final String SIZE = "x-tokens: 1000";
-    /** How long each whole stream of the engine lasts, in milliseconds. */
+class EntryShutdownTest {
+    private static final String PROMPT_TOKENS_HEADER = "x-tokens: 1000";
+    /** Duration of each complete stream of the engine, in milliseconds. */
     private static final long STREAM_MILLIS = 1_500;
-    /** Streams from which the entry can learn how long they last. */
-    private static final int LEARNT_FROM = 20;
-    /** The grace period, in milliseconds: long enough for one stream that begins at once, too short for one begun later. */
+    /** Number of requests from whose durations the entry estimates how long another one takes. */
+    private static final int SAMPLE_COUNT = 20;
+    /** Grace period, in milliseconds: long enough for a stream that starts at once, too short for one that starts later. */
     private static final long GRACE_MILLIS = 3_000;
-    /** A body that doesn't fit the buffers between an entry and a caller who doesn't read. */
+    /** Size of a body that does not fit into the buffers between an entry and a caller that does not read. */
     private static final int LARGE_BYTES = 7 * 1024 * 1024;
-    /** What a caller who reads late lets in before that, in bytes. */
-    private static final int SMALL_WINDOW = 16 * 1024;
+    /** Receive buffer of a caller that reads late, in bytes. */
+    private static final int SMALL_WINDOW_BYTES = 16 * 1024;
 
     private final TestEntry entry = new TestEntry();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final CompletableFuture<Void> arrived = new CompletableFuture<>();
-    private final CompletableFuture<Void> goOn = new CompletableFuture<>();
+    private final CompletableFuture<Void> mayAnswer = new CompletableFuture<>();
     private final ScriptedEndpoint engine = new ScriptedEndpoint("engine", this::slowStream);
     private final ScriptedEndpoint service = new ScriptedEndpoint("service", this::largeAnswer);
 
     @BeforeEach
     void start() {
-        entry.routes(20_000, 1_000);
-        entry.endpoints(engine.member("s", Stage.DECODE), service.member("s", Stage.WHOLE));
+        entry.updateRoutes(20_000, 1_000);
+        entry.updateEndpoints(engine.member("s", Stage.DECODE), service.member("s", Stage.WHOLE));
     }
 
     @AfterEach
     void stop() {
-        goOn.complete(null);
+        mayAnswer.complete(null);
         entry.close();
         engine.close();
         service.close();
@@ -72,7 +72,7 @@
 
     private void largeAnswer(RawRequest request, ScriptedEndpoint.Connection connection) throws IOException {
         arrived.complete(null);
-        goOn.join();
+        mayAnswer.join();
         connection.answer(request, "x".repeat(LARGE_BYTES));
     }
 
@@ -84,17 +84,17 @@
         }
     }
 
-    private void learnHowLongStreamsLast(String path) {
+    private void recordStreamDurations(String path) {
         List<CompletableFuture<String>> answers = new ArrayList<>();
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             String id = "learnt" + i;
-            answers.add(CompletableFuture.supplyAsync(() -> entry.ask(path, id, SIZE), threads));
+            answers.add(CompletableFuture.supplyAsync(() -> entry.ask(path, id, PROMPT_TOKENS_HEADER), threads));
         }
         answers.forEach(answer -> assertThat(answer.join()).endsWith("0\r\n\r\n"));
     }
 
-    /** Ends the process as the signal to stop does: what is still under way after the grace period is cut. */
-    private CompletableFuture<Void> leave(long graceMillis) {
+    /** Ends the process as the stop signal does: requests that are still in progress after the grace period are cut. */
+    private CompletableFuture<Void> shutDown(long graceMillis) {
         return CompletableFuture.runAsync(
                 () -> {
                     entry.process().drain(graceMillis);
@@ -103,13 +103,13 @@
                 threads);
     }
 
-    private static String call(String id) {
+    private static String requestText(String id) {
         return "POST /once/x HTTP/1.1\r\nHost: h\r\nx-id: " + id + "\r\nx-patience: 20000\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private Socket callerWhoReadsLate() throws IOException {
+    private Socket connectWithSmallWindow() throws IOException {
         Socket socket = new Socket();
-        socket.setReceiveBufferSize(SMALL_WINDOW);
+        socket.setReceiveBufferSize(SMALL_WINDOW_BYTES);
         InetSocketAddress address = entry.address();
         socket.connect(address);
         return socket;
@@ -119,97 +119,97 @@
         caller.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns how many bytes come, and whether they end with a reset. */
+    /** Returns the number of bytes received until the connection ends, in order or with a reset. */
     private static long readAll(Socket caller) throws IOException {
         InputStream in = caller.getInputStream();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         try {
             in.transferTo(all);
         } catch (IOException reset) {
-            // What came before it counts.
+            // The bytes received before the reset count.
         }
         return all.size();
     }
 
-    /** The one behind waits for its turn and is never begun: it must not take the connection from the one before it. */
+    /** The second request is queued and never started: it must not take over the connection of the first. */
     @Test
-    void whoIsCutAtTheEndIsToldSoThoughAnotherRequestWaitsBehind() throws Exception {
+    void aRequestCutAtTheEndGetsAnErrorAlthoughAnotherIsQueuedBehindIt() throws Exception {
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.write(call("first") + call("second"));
+            caller.write(requestText("first") + requestText("second"));
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = leave(800);
+            CompletableFuture<Void> shutdown = shutDown(800);
             assertThat(caller.readAll()).startsWith("HTTP/1.1 502").contains("this entry stops");
-            left.join();
+            shutdown.join();
         }
         assertThat(service.runs()).hasSize(1);
     }
 
-    /** The answer has been handed to the connection, not to the caller: the process mustn't end with it. */
+    /** The answer has been written to the connection but not received by the caller: the process must not end yet. */
     @Test
-    void anAnswerThatItsCallerReadsSlowlyIsWholeThoughNothingElseIsUnderWay() throws Exception {
-        try (Socket caller = callerWhoReadsLate()) {
-            write(caller, call("slow"));
-            goOn.complete(null);
+    void anAnswerThatItsCallerReadsSlowlyIsCompleteAlthoughNothingElseIsInProgress() throws Exception {
+        try (Socket caller = connectWithSmallWindow()) {
+            write(caller, requestText("slow"));
+            mayAnswer.complete(null);
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = leave(12_000);
+            CompletableFuture<Void> shutdown = shutDown(12_000);
             sleep(5_000);
             assertThat(readAll(caller)).isGreaterThan(LARGE_BYTES);
-            left.join();
+            shutdown.join();
         }
     }
 
-    /** Its caller sends a long prompt: it gets an answer or a refusal while there is time for one, not a lost connection. */
+    /** A caller that is still sending a long prompt gets an answer or a refusal in time, not a lost connection. */
     @Test
     void aRequestThatIsStillBeingSentKeepsTheEntryFromEndingEarly() throws Exception {
         try (TestEntry.Caller caller = entry.caller()) {
             caller.write("POST /once/x HTTP/1.1\r\nHost: h\r\nx-id: long\r\nContent-Length: 2\r\n\r\nh");
             sleep(100);
-            CompletableFuture<Void> left = leave(8_000);
+            CompletableFuture<Void> shutdown = shutDown(8_000);
             sleep(4_000);
             caller.write("i");
             assertThat(caller.readAll()).startsWith("HTTP/1.1 503").contains("x-come-back: ");
-            left.join();
+            shutdown.join();
         }
     }
 
     @Test
-    void anEntryThatHasNothingLeftToDoEndsLongBeforeItsTimeIsUp() throws Exception {
+    void anEntryWithNothingInProgressEndsLongBeforeItsGracePeriod() throws Exception {
         service.script((request, connection) -> {
             arrived.complete(null);
-            goOn.join();
+            mayAnswer.join();
             connection.answer(request, "late but whole");
         });
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.write(call("last"));
+            caller.write(requestText("last"));
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = leave(60_000);
+            CompletableFuture<Void> shutdown = shutDown(60_000);
             sleep(4_000);
-            assertThat(left).as("something is under way").isNotDone();
-            goOn.complete(null);
+            assertThat(shutdown).as("a request is in progress").isNotDone();
+            mayAnswer.complete(null);
             assertThat(caller.readAll()).endsWith("late but whole");
-            left.get(5, TimeUnit.SECONDS);
+            shutdown.get(5, TimeUnit.SECONDS);
         }
     }
 
     /**
-     * Between its end and that of its process an entry writes its last answers. What a caller sends on an idle connection in that time
-     * could be passed on and not be answered any more.
+     * Guards against a request that is forwarded but never answered: between its end and the end of its process an entry
+     * writes its last answers, while a caller may still send a request on an idle connection.
      */
     @Test
-    void aRequestThatComesWhenTheEntryHasEndedIsNotPassedOn() throws Exception {
+    void aRequestThatArrivesWhenTheEntryHasEndedIsNotForwarded() throws Exception {
         service.script((request, connection) -> connection.answer(request, "whole"));
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.write(call("before"));
+            caller.write(requestText("before"));
             awaitFirstRun();
             assertThat(service.runs()).hasSize(1);
-            CompletableFuture<Void> left = leave(60_000);
+            CompletableFuture<Void> shutdown = shutDown(60_000);
             awaitClosedListener();
             try {
-                caller.write(call("crossing"));
+                caller.write(requestText("crossing"));
             } catch (IllegalStateException expected) {
-                // The connection is closed already.
+                // The connection is already closed.
             }
-            left.get(5, TimeUnit.SECONDS);
+            shutdown.get(5, TimeUnit.SECONDS);
             assertThat(service.runs()).hasSize(1);
         }
     }
@@ -232,23 +232,23 @@
         }
     }
 
-    /** Its answer could not be given any more: the connection is announced to close. */
+    /** Its answer could no longer be delivered, because the first answer announces that the connection closes. */
     @Test
     void aRequestBehindAnAnswerThatClosesTheConnectionIsNotRun() throws Exception {
         service.script((request, connection) -> connection.answer(request, "quick"));
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/once/x", "learnt" + i)).startsWith("HTTP/1.1 200");
         }
         service.script(this::largeAnswer);
-        try (Socket caller = callerWhoReadsLate()) {
-            write(caller, call("first") + call("second"));
+        try (Socket caller = connectWithSmallWindow()) {
+            write(caller, requestText("first") + requestText("second"));
             arrived.get(10, TimeUnit.SECONDS);
-            CompletableFuture<Void> left = leave(8_000);
+            CompletableFuture<Void> shutdown = shutDown(8_000);
             sleep(200);
-            goOn.complete(null);
+            mayAnswer.complete(null);
             sleep(1_000);
-            assertThat(readAll(caller)).as("the first answer is whole").isGreaterThan(LARGE_BYTES);
-            left.join();
+            assertThat(readAll(caller)).as("the first answer is complete").isGreaterThan(LARGE_BYTES);
+            shutdown.join();
         }
         assertThat(service.runs())
                 .extracting(run -> run.header("x-id"))
@@ -256,10 +256,10 @@
                 .doesNotContain("second");
     }
 
-    /** What is left of it is shorter than a whole one, and it can't be refused any more: its caller has a part of it. */
+    /** Its rest is shorter than a complete stream, and it can no longer be refused because its caller has a part of it. */
     @Test
-    void aStreamThatHasBegunGoesOnAtAnotherEngineThoughAWholeOneWouldNotEndInTime() throws Exception {
-        learnHowLongStreamsLast("/resumable/x");
+    void aStartedStreamResumesAtAnotherEngineAlthoughACompleteOneWouldNotEndInTime() throws Exception {
+        recordStreamDurations("/resumable/x");
         engine.script((request, connection) -> {
             if (request.path().startsWith("/control/")) {
                 connection.answer(request, "booking");
@@ -276,21 +276,21 @@
             connection.endStream();
         });
         CompletableFuture<String> answer =
-                CompletableFuture.supplyAsync(() -> entry.ask("/resumable/x", "broken", SIZE), threads);
+                CompletableFuture.supplyAsync(() -> entry.ask("/resumable/x", "broken", PROMPT_TOKENS_HEADER), threads);
         sleep(200);
-        CompletableFuture<Void> left = leave(GRACE_MILLIS);
+        CompletableFuture<Void> shutdown = shutDown(GRACE_MILLIS);
         assertThat(answer.join()).contains("id: 1").contains("id: 2").endsWith("0\r\n\r\n");
-        left.join();
+        shutdown.join();
     }
 
-    /** A full service has room again long before this entry ends, which still takes such calls. */
+    /** A full service has capacity again long before this entry, which still accepts such calls, ends. */
     @Test
-    void whoFindsAServiceFullIsNotToldToWaitForTheSuccessorOfAnEntryThatWouldServeItSooner() {
+    void aCallRefusedByAFullServiceIsNotToldToWaitUntilTheDrainingEntryIsReplaced() {
         service.script((request, connection) -> connection.answer(request, "quick"));
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/once/x", "learnt" + i)).startsWith("HTTP/1.1 200");
         }
-        CompletableFuture<Void> left = leave(8_000);
+        CompletableFuture<Void> shutdown = shutDown(8_000);
         service.script((request, connection) -> connection.reject(request));
         for (int i = 0; i < 33; i++) {
             entry.ask("/once/x", "kept" + i);
@@ -299,28 +299,28 @@
         String refused = entry.ask("/once/x", "full");
         service.script((request, connection) -> connection.answer(request, "quick"));
         assertThat(refused).startsWith("HTTP/1.1 503").contains("the service is full");
-        assertThat(comeBackMillis(refused)).isLessThan(1_000);
+        assertThat(retryAfterMillis(refused)).isLessThan(1_000);
         assertThat(entry.ask("/once/x", "again")).startsWith("HTTP/1.1 200");
-        left.join();
+        shutdown.join();
     }
 
-    private static long comeBackMillis(String answer) {
+    private static long retryAfterMillis(String answer) {
         String name = "x-come-back: ";
         int at = answer.indexOf(name) + name.length();
         return Long.parseLong(answer.substring(at, answer.indexOf('\r', at)));
     }
 
-    /** A connection that ends without an answer says nothing: its request must not have reached anybody. */
+    /** A connection that ends without an answer reports no outcome, so its request must not have reached any endpoint. */
     @Test
-    void whoGetsNoAnswerAtTheEndHasNotRun() {
+    void aRequestWithoutAnAnswerAtTheEndHasNotRun() {
         service.script((request, connection) -> connection.answer(request, "quick"));
-        learnHowLongStreamsLast("/stream/x");
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        recordStreamDurations("/stream/x");
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             assertThat(entry.ask("/once/x", "learnt" + i)).startsWith("HTTP/1.1 200");
         }
-        CompletableFuture<Void> left = leave(GRACE_MILLIS);
+        CompletableFuture<Void> shutdown = shutDown(GRACE_MILLIS);
         List<CompletableFuture<List<String>>> answers = new ArrayList<>();
-        while (!left.isDone()) {
+        while (!shutdown.isDone()) {
             answers.add(ask("/once/x", "call" + answers.size()));
             answers.add(ask("/stream/x", "stream" + answers.size()));
             sleep(5);
@@ -335,13 +335,13 @@
         });
     }
 
-    /** Returns the id and the answer, empty where the entry has gone. */
+    /** Returns the id and the answer, which is empty if the entry has ended. */
     private CompletableFuture<List<String>> ask(String path, String id) {
         return CompletableFuture.supplyAsync(
                 () -> {
                     try {
-                        return List.of(id, entry.ask(path, id, SIZE));
-                    } catch (IllegalStateException gone) {
+                        return List.of(id, entry.ask(path, id, PROMPT_TOKENS_HEADER));
+                    } catch (IllegalStateException closed) {
                         return List.of(id, "");
                     }
                 },
@@ -349,45 +349,45 @@
     }
 
     @Test
-    void aSecondSignalDoesNotPutOffTheTimeByWhichRequestsMustEnd() {
-        learnHowLongStreamsLast("/stream/x");
-        CompletableFuture<Void> left = leave(GRACE_MILLIS);
+    void aSecondSignalDoesNotPostponeTheEndOfTheGracePeriod() {
+        recordStreamDurations("/stream/x");
+        CompletableFuture<Void> shutdown = shutDown(GRACE_MILLIS);
         sleep(1_300);
-        CompletableFuture<Void> again = leave(GRACE_MILLIS);
+        CompletableFuture<Void> secondShutdown = shutDown(GRACE_MILLIS);
         sleep(100);
-        assertThat(entry.ask("/stream/x", "late", SIZE)).startsWith("HTTP/1.1 503");
-        left.join();
-        again.join();
+        assertThat(entry.ask("/stream/x", "late", PROMPT_TOKENS_HEADER)).startsWith("HTTP/1.1 503");
+        shutdown.join();
+        secondShutdown.join();
     }
 
-    /** Without a length or chunks its end is the connection's: an orderly one would say that it is complete. */
+    /** Without a length or chunks an answer ends with its connection, so an orderly close would mark it as complete. */
     @Test
-    void anAnswerThatOnlyTheConnectionEndsDoesNotLookCompleteWhenItIsCut() throws Exception {
+    void anAnswerDelimitedByTheConnectionDoesNotLookCompleteWhenItIsCut() throws Exception {
         try (TestEntry.Caller caller = entry.caller()) {
-            caller.write(
-                    "POST /stream/x HTTP/1.0\r\nHost: h\r\nx-id: old\r\n" + SIZE + "\r\nContent-Length: 0\r\n\r\n");
+            caller.write("POST /stream/x HTTP/1.0\r\nHost: h\r\nx-id: old\r\n" + PROMPT_TOKENS_HEADER
+                    + "\r\nContent-Length: 0\r\n\r\n");
             assertThat(caller.readUntil("data: a\n\n")).startsWith("HTTP/1.1 200");
-            CompletableFuture<Void> left = leave(600);
+            CompletableFuture<Void> shutdown = shutDown(600);
             assertThat(caller.readAll()).endsWith("[reset]");
-            left.join();
+            shutdown.join();
         }
     }
 
-    /** Failures come faster than what they stand for: they tell nothing of how long a good answer takes. */
+    /** Failures are faster than successful answers, so they must not count in the estimate of how long an answer takes. */
     @Test
-    void failuresThatComeQuicklyDoNotMakeALongCallLookShort() {
+    void quickFailuresDoNotLowerTheExpectedDurationOfACall() {
         service.script((request, connection) -> connection.write("HTTP/1.1 500 Failed\r\nx-id: "
                 + request.header("x-id") + "\r\nx-signature: s\r\nContent-Length: 0\r\n\r\n"));
-        for (int i = 0; i < LEARNT_FROM; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             entry.ask("/once/x", "failed" + i);
         }
         service.script((request, connection) -> {
             sleep(STREAM_MILLIS);
             connection.answer(request, "good");
         });
-        CompletableFuture<Void> left = leave(1_500);
+        CompletableFuture<Void> shutdown = shutDown(1_500);
         sleep(100);
         assertThat(entry.ask("/once/x", "long")).startsWith("HTTP/1.1 503");
-        left.join();
+        shutdown.join();
     }
 }
--- a/gateway/src/test/java/org/quetzalseam/gateway/TestProtocol.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/TestProtocol.java
@@ -17,7 +17,7 @@
 import org.quetzalseam.gateway.protocol.ReplyFacts;
 import org.quetzalseam.gateway.protocol.RequestFacts;
 
-/** A plain protocol for tests, with names of its own. */
+/** A minimal protocol for tests, with its own header names and paths. */
 public final class TestProtocol implements Protocol {
     @Override
     public String idHeader() {
@@ -28,18 +28,18 @@
     public RequestFacts facts(HttpHeaders headers) {
         String tokens = headers.get("x-tokens");
         TokenDemand demand = tokens == null ? null : new TokenDemand(Integer.parseInt(tokens), 500, 200);
-        long patience = Long.parseLong(headers.get("x-patience", "5000"));
-        return new RequestFacts(headers.get("x-id", ""), patience, demand, headers.get("x-resume"));
+        long waitMillis = Long.parseLong(headers.get("x-patience", "5000"));
+        return new RequestFacts(headers.get("x-id", ""), waitMillis, demand, headers.get("x-resume"));
     }
 
     @Override
-    public void forward(HttpHeaders headers, Forwarding forwarding) {
+    public void rewriteHeaders(HttpHeaders headers, Forwarding forwarding) {
         headers.set("x-endpoint", forwarding.expectedEndpoint());
         if (forwarding.prefillOnly()) {
             headers.set("x-prefill", "1");
         }
         set(headers, "x-kv", forwarding.kvSource());
-        set(headers, "x-booking", forwarding.reservation());
+        set(headers, "x-booking", forwarding.booking());
         set(headers, "x-resume", forwarding.resumeAfter());
     }
 
@@ -56,22 +56,22 @@
     }
 
     @Override
-    public void comeBackAfter(HttpHeaders headers, long millis) {
+    public void setRetryAfter(HttpHeaders headers, long millis) {
         headers.set("x-come-back", millis);
     }
 
     @Override
-    public FullHttpRequest reserve(int tokens, long millis) {
+    public FullHttpRequest bookMemory(int tokens, long millis) {
         return call(HttpMethod.POST, "/control/reserve?tokens=" + tokens);
     }
 
     @Override
-    public Optional<String> reservation(String body) {
+    public Optional<String> bookingId(String body) {
         return body.isEmpty() ? Optional.empty() : Optional.of(body);
     }
 
     @Override
-    public FullHttpRequest release(String reservation) {
+    public FullHttpRequest releaseBooking(String reservation) {
         return call(HttpMethod.DELETE, "/control/release/" + reservation);
     }
 
@@ -97,11 +97,11 @@
 
     @Override
     public Optional<EngineLoad> load(String body) {
-        String[] bornAndOrders = body.split(" ", 2);
-        return bornAndOrders.length < 2
+        String[] startAndOrders = body.split(" ", 2);
+        return startAndOrders.length < 2
                 ? Optional.empty()
                 : Optional.of(new EngineLoad(
-                        Long.parseLong(bornAndOrders[0]), 0, 0, 0, 1_000, Long.parseLong(bornAndOrders[1]), false));
+                        Long.parseLong(startAndOrders[0]), 0, 0, 0, 1_000, Long.parseLong(startAndOrders[1]), false));
     }
 
     @Override
--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/RestoredCensusTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryRestoreTest.java
@@ -12,10 +12,11 @@
 import org.quetzalseam.gateway.store.MemoryStore;
 
 /**
- * The count of entries when names have gone from the store that belong to entries that live. An entry that left its name once
- * never left it again: it counted two where three lived, and its rank was another one's too.
+ * The entry count when names of running entries are missing from the store. Guards against an entry that registers its name
+ * only once: after a restore it counted two entries where three were running, and its rank was also the rank of another
+ * entry.
  */
-class RestoredCensusTest {
+class EntryRegistryRestoreTest {
     private static final String KIND = "quetzalseam-entries";
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -24,7 +25,7 @@
 
     private void start(String self) {
         channel.freezeTime();
-        new EntryCensus(new Timers(channel.eventLoop()), store, self, counted::add).start();
+        new EntryRegistry(new Timers(channel.eventLoop()), store, self, counted::add).start();
     }
 
     private void put(String name) {
@@ -43,7 +44,7 @@
     }
 
     @Test
-    void aNameThatIsYoungerThanTheCopyIsLeftAgain() {
+    void aNameMissingFromARestoredCopyIsRegisteredAgain() {
         put("a");
         put("b");
         MemoryStore.Copy copy = store.copy();
@@ -57,7 +58,7 @@
     }
 
     @Test
-    void othersAreNotTakenForGoneBeforeTheyCouldLeaveTheirNamesAgain() {
+    void otherEntriesCountAsPresentUntilTheyCouldRegisterAgain() {
         put("a");
         MemoryStore.Copy copy = store.copy();
         start("c");
@@ -70,12 +71,12 @@
         put("b");
         passSeconds(20);
         assertThat(counted)
-                .as("a share of a budget that is too large for a moment")
+                .as("a lower count would allow too large a budget share for a moment")
                 .isEmpty();
     }
 
     @Test
-    void aNameThatAnOperatorDeletesIsLeftAgain() {
+    void aNameThatAnOperatorDeletesIsRegisteredAgain() {
         put("a");
         start("b");
         passSeconds(20);
--- a/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryCensusTest.java
+++ b/gateway/src/test/java/org/quetzalseam/gateway/entry/EntryRegistryTest.java
@@ -11,7 +11,7 @@
 import org.quetzalseam.gateway.runtime.Timers;
 import org.quetzalseam.gateway.store.MemoryStore;
 
-class EntryCensusTest {
+class EntryRegistryTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final List<Integer> counted = new ArrayList<>();
     private final List<Integer> ranks = new ArrayList<>();
@@ -19,14 +19,14 @@
 
     private void start() {
         channel.freezeTime();
-        new EntryCensus(new Timers(channel.eventLoop()), store, "self", count -> {
+        new EntryRegistry(new Timers(channel.eventLoop()), store, "self", count -> {
                     counted.add(count.entries());
                     ranks.add(count.rank());
                 })
                 .start();
     }
 
-    /** Puts the names of other entries in the store. */
+    /** Registers other entries in the store. */
     private void others(int count) {
         for (int i = 0; i < count; i++) {
             store.put("quetzalseam-entries", "other-" + i, JsonNodeFactory.instance.objectNode());
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aChangedNumberIsToldOnce() {
+    void aChangedCountIsReportedOnce() {
         others(4);
         start();
         passSeconds(20);
@@ -50,8 +50,8 @@
         assertThat(counted).containsExactly(5, 6);
     }
 
-    // Guards against an entry that takes the whole of a shared budget, as its first count was made before the others'
-    // names were there.
+    // Guards against an entry that takes an entire shared budget because it made its first count before the others
+    // were registered.
     @Test
     void entriesThatStartTogetherDoNotCountThemselvesAlone() {
         start();
@@ -60,20 +60,20 @@
         assertThat(counted).containsExactly(5);
     }
 
-    // Guards against the same where an old answer lacks the others.
+    // Guards against the same fault when a stale list lacks the other entries.
     @Test
-    void anEntryThatIsAddedDoesNotCountFromAnOldAnswer() {
+    void anAddedEntryDoesNotCountFromAStaleList() {
         others(4);
-        store.listsRecently(List.of());
+        store.answerRecentListsWith(List.of());
         start();
         passSeconds(4);
-        store.listsRecently(null);
+        store.answerRecentListsWith(null);
         passSeconds(20);
         assertThat(counted).containsExactly(5);
     }
 
     @Test
-    void theRankIsTheNamesPlaceAmongTheOthers() {
+    void theRankIsThePositionOfTheNameAmongAllNames() {
         others(3);
         store.put("quetzalseam-entries", "the-last", JsonNodeFactory.instance.objectNode());
         start();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void whileTheStoreDeclinesTheNameIsLeftAgain() {
+    void registrationIsRetriedWhileTheStoreDeclines() {
         store.declining(true);
         start();
         passSeconds(12);
--- a/standins/src/main/java/org/quetzalseam/standins/EngineStandIn.java
+++ b/standins/src/main/java/org/quetzalseam/standins/EngineStandIn.java
@@ -8,26 +8,27 @@
 import java.util.Set;
 
 /**
- * A model engine with continuous batching: prefills prompts, or decodes from a fetched KV cache, and cancels. It counts
- * the memory it holds, so that tests see what a router leaves behind. Thread-safe.
+ * Simulates a model engine with continuous batching, which prefills prompts, decodes from a fetched KV cache and cancels
+ * requests. It counts the sequences that hold memory, so that tests detect memory that a router did not release.
+ * Thread-safe.
  *
- * <p>Each output is {@code HASH:INDEX} with a hash of the prompt, so that a caller can tell if an answer is its own,
- * whole and in order.
+ * <p>Each output is {@code HASH:INDEX} with a hash of the prompt, so that a caller can check that an answer belongs to
+ * its request, is complete and in order.
  */
 public final class EngineStandIn {
     private static final int CHARS_PER_TOKEN = 4;
-    private static final int CANCELLED_KEPT = 10_000;
+    private static final int MAX_CANCELLED_IDS = 10_000;
 
     private final EngineCosts costs;
     private final KvRegistry registry;
     private final TransferLink link;
     private final PrefillBatch prefills;
     private final DecodeBatch decodes;
-    private final Set<String> cancelled = new LinkedHashSet<>();
+    private final Set<String> cancelledIds = new LinkedHashSet<>();
     private volatile boolean refusing;
     private final StandInServer server;
 
-    /** Starts an engine on a free port of loopback. */
+    /** Starts an engine on a free port of the loopback interface. */
     public EngineStandIn(EngineCosts costs, KvRegistry registry) {
         this.costs = costs;
         this.registry = registry;
@@ -42,22 +43,22 @@
         return server.url();
     }
 
-    /** Returns the sequences that hold memory now. */
-    public int held() {
-        return decodes.held();
+    /** Returns the number of sequences that hold memory now. */
+    public int heldSequences() {
+        return decodes.heldSequences();
     }
 
-    /** Returns the most sequences that ever held memory at once. */
-    public int mostHeld() {
-        return decodes.mostHeld();
+    /** Returns the highest number of sequences that held memory at the same time. */
+    public int maxHeldSequences() {
+        return decodes.maxHeldSequences();
     }
 
-    /** Returns how many prompts are being prefilled or wait for it. */
-    public int prefilling() {
+    /** Returns the number of prompts whose prefill is queued or in progress. */
+    public int pendingPrefills() {
         return prefills.size();
     }
 
-    /** Makes the engine refuse new work, or take it again. */
+    /** Sets whether the engine refuses new requests. Cancellations are always accepted. */
     public void refuse(boolean now) {
         refusing = now;
     }
@@ -91,10 +92,10 @@
     }
 
     private void cancel(String id) {
-        synchronized (cancelled) {
-            cancelled.add(id);
-            if (cancelled.size() > CANCELLED_KEPT) {
-                cancelled.remove(cancelled.iterator().next());
+        synchronized (cancelledIds) {
+            cancelledIds.add(id);
+            if (cancelledIds.size() > MAX_CANCELLED_IDS) {
+                cancelledIds.remove(cancelledIds.iterator().next());
             }
         }
         prefills.cancel(id);
@@ -102,8 +103,8 @@
     }
 
     private boolean isCancelled(String id) {
-        synchronized (cancelled) {
-            return cancelled.contains(id);
+        synchronized (cancelledIds) {
+            return cancelledIds.contains(id);
         }
     }
 
@@ -112,7 +113,7 @@
         int tokens = tokens(request);
         String hash = hash(request);
         boolean done = !isCancelled(id)
-                && prefills.run(
+                && prefills.prefill(
                         id,
                         request.path("prompt").asText(),
                         tokens,
@@ -121,7 +122,7 @@
             StandInServer.answerEmpty(exchange, 499);
             return;
         }
-        registry.put(id, hash, tokens, costs.kvLifeMillis());
+        registry.put(id, hash, tokens, costs.kvRetentionMillis());
         ObjectNode answer = StandInServer.JSON.createObjectNode();
         answer.putObject("kv_transfer_params").put("kv_id", id);
         StandInServer.answer(exchange, 200, answer);
@@ -130,51 +131,51 @@
     private void decode(HttpExchange exchange, JsonNode request) throws IOException {
         String id = request.path("request_id").asText();
         DecodeBatch.Sequence sequence =
-                decodes.enter(id, request.path("max_tokens").asInt());
+                decodes.add(id, request.path("max_tokens").asInt());
         if (sequence == null) {
             StandInServer.answerEmpty(exchange, 503);
             return;
         }
         try {
-            var kv = registry.take(
+            var kv = registry.fetch(
                     request.path("kv_transfer_params").path("kv_id").asText());
             if (kv.isEmpty() || isCancelled(id)) {
-                kv.ifPresent(unused -> registry.wasted(unused.tokens()));
+                kv.ifPresent(unused -> registry.recordWasted(unused.tokens()));
                 StandInServer.answerEmpty(exchange, kv.isEmpty() ? 410 : 499);
                 return;
             }
             link.transfer(kv.get().tokens() * costs.kvBytesPerToken());
             exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
             exchange.sendResponseHeaders(200, 0);
-            stream(exchange, sequence, kv.get().prompt());
+            stream(exchange, sequence, kv.get().promptHash());
         } finally {
-            decodes.leave(sequence);
+            decodes.remove(sequence);
         }
     }
 
     private void stream(HttpExchange exchange, DecodeBatch.Sequence sequence, String hash) throws IOException {
-        decodes.begin(sequence);
-        int index = sequence.next();
+        decodes.start(sequence);
+        int index = sequence.awaitNext();
         while (index >= 0) {
             ObjectNode event = StandInServer.JSON.createObjectNode();
             ObjectNode choice = event.putArray("choices").addObject().put("text", hash + ":" + index + " ");
             if (index == sequence.outputs() - 1) {
                 choice.put("finish_reason", "length");
             }
-            write(exchange, "data: " + event + "\n\n");
-            index = sequence.next();
+            writeEvent(exchange, "data: " + event + "\n\n");
+            index = sequence.awaitNext();
         }
         if (sequence.isComplete()) {
-            write(exchange, "data: [DONE]\n\n");
+            writeEvent(exchange, "data: [DONE]\n\n");
         }
     }
 
-    private static void write(HttpExchange exchange, String text) throws IOException {
+    private static void writeEvent(HttpExchange exchange, String text) throws IOException {
         exchange.getResponseBody().write(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         exchange.getResponseBody().flush();
     }
 
-    /** Stops the engine at once. */
+    /** Stops the engine immediately and cancels its work. */
     public void stop() {
         server.stop();
         prefills.stop();
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Dialer.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Dialer.java
@@ -20,18 +20,18 @@
 import org.quetzalseam.wire.runtime.TimerService.Subscription;
 
 /**
- * Keeps one connection to one process open: after a loss it dials again, with a delay that doubles up to a bound and has
- * jitter, so that many processes don't return at the same moment. Thread-safe.
+ * Keeps one connection to one process open. After a loss it dials again, with a delay that doubles up to a limit. The delay
+ * has jitter, so that many processes do not reconnect at the same moment. Thread-safe.
  */
 public final class Dialer implements Service {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final Duration TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final long FIRST_DELAY_MILLIS = 20;
     private static final long MAX_DELAY_MILLIS = 2_000;
 
-    /** Receives what happens on the dialer's connections. */
+    /** Receives the events of the dialer's connections. */
     public interface Listener extends Connection.Listener {
-        /** Learns of a new connection before its first message in either direction. */
+        /** Handles a new connection. Called before any message is sent or received on it. */
         void opened(Connection connection);
     }
 
@@ -42,14 +42,14 @@
     private final Transport transport;
     private final TimerService timers;
     private final Listener listener;
-    private final AtomicLong numbers = new AtomicLong();
-    /** Whether an attempt is to be made after the delay or at once, and isn't being made yet. */
-    private final AtomicBoolean due = new AtomicBoolean();
+    private final AtomicLong connectionNumbers = new AtomicLong();
+    /** Whether an attempt to connect is scheduled and has not started yet. */
+    private final AtomicBoolean attemptPending = new AtomicBoolean();
 
-    private final AtomicLong refusals = new AtomicLong();
+    private final AtomicLong refusedAttempts = new AtomicLong();
     private volatile @Nullable Connection current;
     private volatile boolean stopped;
-    private volatile Subscription delayed = () -> {};
+    private volatile Subscription scheduledAttempt = () -> {};
     private long delayMillis = FIRST_DELAY_MILLIS;
 
     /**
@@ -57,11 +57,11 @@
      *
      * @param host address of the other process
      * @param port port of the other process
-     * @param self who this process is
+     * @param self identity of this process
      * @param key the site's key
-     * @param transport makes the sockets
-     * @param timers runs the delayed attempts
-     * @param listener receives what happens
+     * @param transport creates the sockets
+     * @param timers schedules the delayed attempts
+     * @param listener receives the events of the connections
      */
     public Dialer(
             String host,
@@ -82,42 +82,46 @@
 
     @Override
     public void start() {
-        dialSoon(Duration.ZERO);
+        scheduleAttempt(Duration.ZERO);
     }
 
-    private void dialSoon(Duration delay) {
-        due.set(true);
-        delayed = timers.after(delay, () -> dialIfDue(false));
+    private void scheduleAttempt(Duration delay) {
+        attemptPending.set(true);
+        scheduledAttempt = timers.after(delay, () -> dialIfPending(false));
     }
 
-    /** Makes the attempt that is due after a delay now. Does nothing while there is a connection or an attempt is being made. */
+    /** Starts the scheduled attempt now. Does nothing while there is a connection or an attempt is in progress. */
     public void dialNow() {
-        if (due.get()) {
-            delayed.cancel();
-            dialIfDue(true);
+        if (attemptPending.get()) {
+            scheduledAttempt.cancel();
+            dialIfPending(true);
         }
     }
 
-    private void dialIfDue(boolean hurried) {
-        if (due.compareAndSet(true, false)) {
-            // Dialling blocks, so it has a thread of its own instead of one of the timer's.
-            Threads.daemon("dial-" + host + ":" + port, () -> dial(hurried)).start();
+    private void dialIfPending(boolean early) {
+        if (attemptPending.compareAndSet(true, false)) {
+            // Dialing blocks, so it runs on a thread of its own instead of a timer thread.
+            Threads.daemon("dial-" + host + ":" + port, () -> dial(early)).start();
         }
     }
 
-    /** Returns how many attempts have found no process that answers at the address; one that stays silent isn't counted. */
-    public long refusals() {
-        return refusals.get();
+    /**
+     * Returns how many attempts failed because no process answers at the address. Attempts that timed out because the peer
+     * was unresponsive are not counted.
+     */
+    public long refusedAttempts() {
+        return refusedAttempts.get();
     }
 
-    private void dial(boolean hurried) {
+    private void dial(boolean early) {
         if (stopped) {
             return;
         }
         try {
             Connection connection = connect();
             delayMillis = FIRST_DELAY_MILLIS;
-            // Only then current: what is sent earlier would be taken for a part of what the last connection carried.
+            // Becomes current only after this call. The listener would count a message sent earlier as lost with
+            // the previous connection.
             listener.opened(connection);
             current = connection;
             connection.start();
@@ -127,51 +131,51 @@
         } catch (IOException | WireException e) {
             logger.atFine().log("event=dial-failed peer=%s:%d reason=%s", host, port, e.getMessage());
             if (isRefusal(e)) {
-                refusals.incrementAndGet();
+                refusedAttempts.incrementAndGet();
             }
-            retry(hurried);
+            scheduleRetry(early);
         }
     }
 
     private Connection connect() throws IOException {
-        Socket socket = transport.connect(host, port, TIMEOUT);
+        Socket socket = transport.connect(host, port, CONNECT_TIMEOUT);
         try {
             DataInputStream in = Connection.input(socket);
             OutputStream out = Connection.output(socket);
-            Handshake.Peer peer = Handshake.open(in, out, self, key, numbers.incrementAndGet());
-            return new Connection(socket, in, out, peer, new Redialing());
+            Handshake.Peer peer = Handshake.open(in, out, self, key, connectionNumbers.incrementAndGet());
+            return new Connection(socket, in, out, peer, new RedialingListener());
         } catch (IOException | RuntimeException e) {
             Sockets.close(socket);
             throw e;
         }
     }
 
-    /** Returns whether an attempt failed because nobody talks at the address. */
+    /** Returns whether an attempt failed because no process answers at the address. */
     private static boolean isRefusal(Exception failure) {
-        return failure instanceof WireException rejected
-                ? rejected.code() == Code.DISCONNECTED
+        return failure instanceof WireException wireFailure
+                ? wireFailure.code() == Code.DISCONNECTED
                 : !(failure instanceof SocketTimeoutException);
     }
 
-    /** Waits for the next attempt; one that was made ahead of its time doesn't put those after it off. */
-    private void retry(boolean hurried) {
+    /** Schedules the next attempt. A failed attempt that {@link #dialNow} started early does not double the delay. */
+    private void scheduleRetry(boolean early) {
         if (stopped) {
             return;
         }
         long jitter = ThreadLocalRandom.current().nextLong(delayMillis / 2 + 1);
-        dialSoon(Duration.ofMillis(delayMillis / 2 + jitter));
-        if (!hurried) {
+        scheduleAttempt(Duration.ofMillis(delayMillis / 2 + jitter));
+        if (!early) {
             delayMillis = Math.min(MAX_DELAY_MILLIS, delayMillis * 2);
         }
     }
 
-    /** Sends a message over the current connection. Returns false when there is none. */
+    /** Sends a message over the current connection. Returns false if there is none or it is closed or closing. */
     public boolean send(Message message) {
         Connection connection = current;
         return connection != null && connection.send(message);
     }
 
-    private final class Redialing implements Connection.Listener {
+    private final class RedialingListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
             listener.received(connection, message);
@@ -180,7 +184,7 @@
         @Override
         public void closed(Connection connection) {
             listener.closed(connection);
-            retry(false);
+            scheduleRetry(false);
         }
     }
 
--- a/wire/src/main/java/org/quetzalseam/wire/connection/Handshake.java
+++ b/wire/src/main/java/org/quetzalseam/wire/connection/Handshake.java
@@ -16,24 +16,24 @@
 import org.quetzalseam.wire.message.Welcome;
 
 /**
- * The first messages of a connection: each side says who it is and proves that it holds the site's key. Both proofs cover
- * a nonce of the other side, so a recorded handshake can't be played again. Stateless.
+ * The handshake of a connection, in which each side identifies itself and proves that it holds the site's key. Both
+ * proofs cover a nonce of the other side, so a recorded handshake cannot be replayed. Stateless.
  */
 final class Handshake {
-    /** Version of the protocol between our processes. */
-    static final int PROTOCOL = 1;
+    /** Version of the protocol between processes. */
+    static final int PROTOCOL_VERSION = 1;
 
     private static final int NONCE_BYTES = 16;
-    private static final int MAX_HANDSHAKE_FRAME = 1024;
+    private static final int MAX_HANDSHAKE_FRAME_BYTES = 1024;
     private static final String OPENER = "opener";
     private static final String ANSWERER = "answerer";
     private static final SecureRandom RANDOM = new SecureRandom();
 
     /**
-     * Who is at the other end.
+     * The other end of a connection.
      *
-     * @param identity the peer
-     * @param connection number of the connection within the opener's incarnation
+     * @param identity identity of the peer
+     * @param connection number of the connection, increasing within the opener's incarnation
      */
     record Peer(Identity identity, long connection) {}
 
@@ -48,11 +48,21 @@
     static Peer open(DataInputStream in, OutputStream out, Identity self, SiteKey key, long connection)
             throws IOException {
         byte[] nonce = nonce();
-        send(out, new Hello(PROTOCOL, self.role(), self.name(), self.zone(), self.incarnation(), connection, nonce));
+        send(
+                out,
+                new Hello(
+                        PROTOCOL_VERSION,
+                        self.role(),
+                        self.name(),
+                        self.zone(),
+                        self.incarnation(),
+                        connection,
+                        nonce));
         Challenge challenge = receive(in, Challenge.class);
         byte[] expected = key.proof(ANSWERER, challenge.incarnation(), nonce, challenge.nonce());
         if (!SiteKey.matches(expected, challenge.proof())) {
-            throw new WireException(Code.NOT_AUTHENTIC, "peer " + challenge.name() + " holds another site key");
+            throw new WireException(
+                    Code.NOT_AUTHENTIC, "peer " + challenge.name() + " does not hold the key of this site");
         }
         send(out, new Proof(key.proof(OPENER, self.incarnation(), nonce, challenge.nonce())));
         receive(in, Welcome.class);
@@ -66,7 +76,10 @@
             checkVersion(hello.protocol());
             byte[] nonce = nonce();
             byte[] proof = key.proof(ANSWERER, self.incarnation(), hello.nonce(), nonce);
-            send(out, new Challenge(PROTOCOL, self.role(), self.name(), self.zone(), self.incarnation(), nonce, proof));
+            send(
+                    out,
+                    new Challenge(
+                            PROTOCOL_VERSION, self.role(), self.name(), self.zone(), self.incarnation(), nonce, proof));
             byte[] expected = key.proof(OPENER, hello.incarnation(), hello.nonce(), nonce);
             if (!SiteKey.matches(expected, receive(in, Proof.class).proof())) {
                 throw new WireException(Code.NOT_AUTHENTIC, "the opener holds another site key");
@@ -83,9 +96,9 @@
     }
 
     private static void checkVersion(int protocol) {
-        if (protocol != PROTOCOL) {
+        if (protocol != PROTOCOL_VERSION) {
             throw new WireException(
-                    Code.WRONG_VERSION, "protocol: this process speaks " + PROTOCOL + ", the peer " + protocol);
+                    Code.WRONG_VERSION, "protocol: this process speaks " + PROTOCOL_VERSION + ", the peer " + protocol);
         }
     }
 
@@ -95,9 +108,9 @@
     }
 
     private static <T extends Message> T receive(DataInputStream in, Class<T> type) throws IOException {
-        byte[] frame = FrameCodec.read(in, MAX_HANDSHAKE_FRAME);
+        byte[] frame = FrameCodec.read(in, MAX_HANDSHAKE_FRAME_BYTES);
         if (frame == null) {
-            throw new WireException(Code.DISCONNECTED, "the peer hung up during the handshake");
+            throw new WireException(Code.DISCONNECTED, "the peer closed the connection during the handshake");
         }
         Message message = MessageCodec.decode(frame);
         if (message instanceof Rejected rejected) {
--- a/wire/src/test/java/org/quetzalseam/wire/connection/AcceptorStopTest.java
+++ b/wire/src/test/java/org/quetzalseam/wire/connection/AcceptorStopTest.java
@@ -17,11 +17,11 @@
 import org.quetzalseam.wire.message.Role;
 
 class AcceptorStopTest {
-    /** More than are greeted at a time, so that some wait. */
+    /** More than the number of concurrent handshakes, so that some connections are queued. */
     private static final int PEERS = 40;
 
-    private static final Duration AT_ONCE = Duration.ofSeconds(1);
-    private static final Duration ACCEPTED = Duration.ofMillis(200);
+    private static final Duration CLOSE_LIMIT = Duration.ofSeconds(1);
+    private static final Duration ACCEPT_TIME = Duration.ofMillis(200);
 
     private final Acceptor acceptor = new Acceptor(
             "127.0.0.1",
@@ -29,7 +29,7 @@
             Identity.start(Role.ENDPOINT, "endpoint", "zone"),
             SiteKey.loopback(),
             Transport.plain(),
-            new Ignoring(),
+            new IgnoringListener(),
             connection -> {});
     private final List<Socket> peers = new ArrayList<>();
 
@@ -44,38 +44,38 @@
         peers.forEach(Sockets::close);
     }
 
-    private static final class Ignoring implements Connection.Listener {
+    private static final class IgnoringListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
-            // Nothing is said here.
+            // No messages are sent in this test.
         }
 
         @Override
         public void closed(Connection connection) {
-            // Nothing is opened here.
+            // No handshake finishes in this test.
         }
     }
 
     /**
-     * A process that dials another one that is stopping has to learn at once that nobody answers there. A connection that was accepted
-     * and never greeted kept it waiting for its own time limit, in which it couldn't tell whether the other is up.
+     * A stop must close accepted connections whose handshake has not finished. If they stay open, the dialing process waits
+     * for its own timeout and cannot tell until then whether the other process is up.
      */
     @Test
-    void whoIsAcceptedAndNotYetGreetedLearnsOfTheStopAtOnce() throws IOException {
+    void aStopClosesAtOnceConnectionsThatHaveNotFinishedTheirHandshake() throws IOException {
         for (int i = 0; i < PEERS; i++) {
             Socket peer = new Socket(InetAddress.getLoopbackAddress(), acceptor.port());
-            peer.setSoTimeout((int) AT_ONCE.toMillis());
+            peer.setSoTimeout((int) CLOSE_LIMIT.toMillis());
             peers.add(peer);
         }
-        LockSupport.parkNanos(ACCEPTED.toNanos());
-        assertThat(acceptor.finish()).isCompleted();
-        assertThat(peers).allSatisfy(peer -> assertThat(ended(peer)).isTrue());
+        LockSupport.parkNanos(ACCEPT_TIME.toNanos());
+        assertThat(acceptor.stopGracefully()).isCompleted();
+        assertThat(peers).allSatisfy(peer -> assertThat(isClosed(peer)).isTrue());
     }
 
-    private static boolean ended(Socket peer) {
+    private static boolean isClosed(Socket peer) {
         try {
             while (peer.getInputStream().read() >= 0) {
-                // A greeting may have been sent before the stop.
+                // Handshake messages may have been sent before the stop.
             }
             return true;
         } catch (SocketTimeoutException e) {
--- a/wire/src/test/java/org/quetzalseam/wire/connection/DialerTest.java
+++ b/wire/src/test/java/org/quetzalseam/wire/connection/DialerTest.java
@@ -18,7 +18,7 @@
     private static final Message MESSAGE = new Leaving(List.of());
 
     private final TimerService timers = new TimerService("test");
-    private final CountDownLatch told = new CountDownLatch(1);
+    private final CountDownLatch opened = new CountDownLatch(1);
     private final CountDownLatch prepared = new CountDownLatch(1);
     private final CountDownLatch arrived = new CountDownLatch(1);
     private final Acceptor acceptor = new Acceptor(
@@ -27,7 +27,7 @@
             Identity.start(Role.ENDPOINT, "endpoint", "zone"),
             SiteKey.loopback(),
             Transport.plain(),
-            new Counting(),
+            new ArrivalListener(),
             connection -> {});
 
     @BeforeEach
@@ -42,7 +42,7 @@
         timers.stop();
     }
 
-    private final class Counting implements Connection.Listener {
+    private final class ArrivalListener implements Connection.Listener {
         @Override
         public void received(Connection connection, Message message) {
             arrived.countDown();
@@ -50,15 +50,15 @@
 
         @Override
         public void closed(Connection connection) {
-            // The test ends it.
+            // Closes are irrelevant in this test.
         }
     }
 
-    /** Takes its time to prepare for a new connection, as a listener's thread does beside load. */
-    private final class SlowToPrepare implements Dialer.Listener {
+    /** Takes long to prepare for a new connection, like a listener on an overloaded machine. */
+    private final class SlowListener implements Dialer.Listener {
         @Override
         public void opened(Connection connection) {
-            told.countDown();
+            opened.countDown();
             try {
                 prepared.await();
             } catch (InterruptedException e) {
@@ -68,18 +68,18 @@
 
         @Override
         public void received(Connection connection, Message message) {
-            // The peer says nothing.
+            // The peer sends no messages.
         }
 
         @Override
         public void closed(Connection connection) {
-            // The test ends it.
+            // Closes are irrelevant in this test.
         }
     }
 
     /**
-     * A listener learns of a new connection so that it can settle what was under way on the last one. What is sent before it has
-     * done so is taken for a part of that, and its sender is told that it is lost although it arrives.
+     * A listener is notified of a new connection so that it can fail the requests in flight on the previous one. A message sent
+     * before it has done so would be failed with them, and its sender would consider it lost although it arrives.
      */
     @Test
     void nothingIsSentOverANewConnectionBeforeItsListenerIsPrepared() throws InterruptedException {
@@ -90,9 +90,9 @@
                 SiteKey.loopback(),
                 Transport.plain(),
                 timers,
-                new SlowToPrepare());
+                new SlowListener());
         dialer.start();
-        assertThat(told.await(LIMIT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(opened.await(LIMIT_SECONDS, TimeUnit.SECONDS)).isTrue();
         assertThat(dialer.send(MESSAGE)).isFalse();
         prepared.countDown();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
