--- a/standins/src/main/java/org/quetzalseam/standins/LinkProxy.java
+++ b/standins/src/main/java/org/quetzalseam/standins/LinkProxy.java
@@ -55,6 +55,7 @@
         thread.start();
     }
 
+    /** Returns the proxy's name. */
     public String name() {
         return name;
     }
