--- a/cli/src/test/java/org/quetzalseam/cli/AnsweredOnceTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/AnsweredOnceTest.java
@@ -22,10 +22,10 @@
     }
 
     @Test
-    void anAnswerIsWholeThoughItsConnectionIsCutAgainAndAgain() {
-        CompletableFuture<Sample> sample = site.digest(site.entry(0), 1500, 400, -1);
+    void anAnswerIsCompleteThoughItsConnectionIsCutRepeatedly() {
+        CompletableFuture<Sample> sample = site.longCompletion(site.entry(0), 1500, 400, -1);
         site.awaitHeld(1);
-        EndpointVm decoder = site.busyDecoder();
+        EndpointVm decoder = site.busyDecodeEndpoint();
         for (int i = 0; i < 5; i++) {
             decoder.proxy().cut();
             Wait.sleep(Duration.ofMillis(150));
@@ -35,10 +35,10 @@
     }
 
     @Test
-    void anAnswerIsWholeThoughTheNetworkHoldsItBackForAWhile() {
-        CompletableFuture<Sample> sample = site.digest(site.entry(0), 1500, 400, -1);
+    void anAnswerIsCompleteThoughTheNetworkDelaysIt() {
+        CompletableFuture<Sample> sample = site.longCompletion(site.entry(0), 1500, 400, -1);
         site.awaitHeld(1);
-        EndpointVm decoder = site.busyDecoder();
+        EndpointVm decoder = site.busyDecodeEndpoint();
         decoder.proxy().freeze(true);
         Wait.sleep(Duration.ofMillis(500));
         decoder.proxy().freeze(false);
@@ -49,7 +49,7 @@
     void everyRequestIsAnsweredThoughConnectionsAreCutWhileTheyQueuePrefillAndDecode() {
         List<CompletableFuture<Sample>> samples = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            samples.add(site.digest(site.entry(i % 2), 1300 + 40 * i, 60, -1));
+            samples.add(site.longCompletion(site.entry(i % 2), 1300 + 40 * i, 60, -1));
         }
         for (int i = 0; i < 10; i++) {
             site.site().endpoints().get(i % 3).proxy().cut();
@@ -63,10 +63,10 @@
     }
 
     @Test
-    void aCallerIsToldThatItsAnswerIsIncompleteWhenTheEndpointDiesInTheMiddle() {
-        CompletableFuture<Sample> sample = site.digest(site.entry(0), 1200, 2000, -1);
+    void anAnswerIsReportedIncompleteWhenItsEndpointCrashesMidway() {
+        CompletableFuture<Sample> sample = site.longCompletion(site.entry(0), 1200, 2000, -1);
         site.awaitHeld(1);
-        EndpointVm decoder = site.busyDecoder();
+        EndpointVm decoder = site.busyDecodeEndpoint();
         Wait.sleep(Duration.ofMillis(300));
         decoder.crash();
         assertThat(sample.join().outcome()).isEqualTo(CallerOutcome.INCOMPLETE);
@@ -74,12 +74,13 @@
 
     @Test
     void aRequestIsAnsweredElsewhereWhenTheEndpointDiesBeforeTheFirstOutput() {
-        CompletableFuture<Sample> sample = site.digest(site.entry(0), 30_000, 50, -1);
+        CompletableFuture<Sample> sample = site.longCompletion(site.entry(0), 30_000, 50, -1);
         Wait.until(
                 TestSite.LIMIT,
                 "a booking",
-                () -> site.decoders().stream().anyMatch(vm -> vm.daemon().load().free() < 20));
-        site.decoders().stream()
+                () -> site.decodeEndpoints().stream()
+                        .anyMatch(vm -> vm.daemon().load().free() < 20));
+        site.decodeEndpoints().stream()
                 .filter(vm -> vm.daemon().load().free() < 20)
                 .findFirst()
                 .orElseThrow()
@@ -89,8 +90,8 @@
 
     @Test
     void aPrefillWhoseEngineRefusesIsPlacedAgainOrRefusedButNeverLeftHanging() {
-        site.prefiller().backend().engine().refuse(true);
-        Sample sample = site.digest(site.entry(0), 1200, 5, -1).join();
+        site.prefillEndpoint().backend().engine().refuse(true);
+        Sample sample = site.longCompletion(site.entry(0), 1200, 5, -1).join();
         assertThat(sample.outcome()).isIn(CallerOutcome.NOT_RUN, CallerOutcome.INCOMPLETE);
         site.awaitAllFree();
     }
--- a/cli/src/test/java/org/quetzalseam/cli/AtMostOnceTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/AtMostOnceTest.java
@@ -21,7 +21,7 @@
         site.close();
     }
 
-    private void slow(long millis) {
+    private void delayServices(long millis) {
         site.services().forEach(vm -> vm.backend().service().slow(millis));
     }
 
@@ -52,7 +52,7 @@
 
     @Test
     void theSameKeyAtTwoEntriesAtOnceRunsOnceAndBothAreAnswered() {
-        slow(200);
+        delayServices(200);
         for (int i = 0; i < 10; i++) {
             String key = "key-" + i;
             CompletableFuture<HttpResponse<String>> first = site.deposit(site.entry(0), key, key);
@@ -65,7 +65,7 @@
 
     @Test
     void aRetryAtAnotherEntryAfterTheFirstOneDiedReceivesTheSameAnswer() {
-        slow(400);
+        delayServices(400);
         CompletableFuture<HttpResponse<String>> first = site.deposit(site.entry(0), "k", "once");
         Wait.until(TestSite.LIMIT, "the deposit runs", () -> site.executions("once") == 1);
         site.entry(0).crash();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aKeyIsNotRunElsewhereWhileItsHolderIsDeadOrAfterItIsOffTheList() {
+    void aKeyIsNotRunElsewhereWhileItsHolderIsDownOrAfterItIsUnlisted() {
         EndpointVm holder = holderOf("k");
         holder.crash();
         assertUnknownAndSafeToRepeat(site.deposit(site.entry(0), "k", "find-k").join());
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void theKeysOfAHolderThatLeftAsPlannedAreKnownToItsSuccessors() {
+    void theKeysOfAHolderThatShutDownAsPlannedAreKnownToItsSuccessors() {
         EndpointVm holder = holderOf("seen");
         holder.stop();
         HttpResponse<String> seen =
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void aHolderThatIsCutOffAndComesBackDoesNotRunAKeyThatHasMoved() {
+    void aHolderThatIsReachableAgainDoesNotRunAKeyThatHasMoved() {
         EndpointVm holder = holderOf("k");
         holder.proxy().freeze(true);
         CompletableFuture<HttpResponse<String>> delayed = site.deposit(site.entry(0), "moved", "moved");
@@ -157,7 +157,7 @@
 
     @Test
     void aCallWithoutAKeyIsNotRepeatedOnceItMayHaveStarted() {
-        slow(300);
+        delayServices(300);
         site.services().forEach(vm -> vm.backend().service().breakOff(true));
         HttpResponse<String> response = site.deposit(site.entry(0), "", "plain").join();
         assertThat(response.statusCode()).isEqualTo(502);
@@ -166,8 +166,8 @@
     }
 
     @Test
-    void whatTheCallerIsToldAgreesWithTheLedgerThoughConnectionsAreCut() {
-        slow(40);
+    void responsesAgreeWithTheLedgerThoughConnectionsAreCut() {
+        delayServices(40);
         List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
             responses.add(site.deposit(site.entry(i % 2), i % 3 == 0 ? "" : "cut-" + i, "cut-" + i));
--- a/cli/src/test/java/org/quetzalseam/cli/CallerGoneTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CallerDisconnectTest.java
@@ -16,7 +16,7 @@
 import org.quetzalseam.cli.load.Sample;
 import org.quetzalseam.cli.site.Wait;
 
-class CallerGoneTest {
+class CallerDisconnectTest {
     private final TestSite site = TestSite.start();
 
     @AfterEach
@@ -38,21 +38,21 @@
         return socket;
     }
 
-    private int placesHeld() {
-        return site.decoders().stream()
+    private int bookedPlaces() {
+        return site.decodeEndpoints().stream()
                 .mapToInt(vm -> 20 - vm.daemon().load().free())
                 .sum();
     }
 
     @Test
     void memoryIsFreedWhenACallerHangsUpWhileItsAnswerStreams() {
-        Sample sample = site.digest(site.entry(0), 1200, 2000, 3).join();
+        Sample sample = site.longCompletion(site.entry(0), 1200, 2000, 3).join();
         assertThat(sample.outcome()).isEqualTo(CallerOutcome.HUNG_UP);
         site.awaitAllFree();
     }
 
     @Test
-    void memoryIsFreedWhenACallerHangsUpBeforeItsWholeAnswerIsReady() throws IOException {
+    void memoryIsFreedWhenACallerHangsUpBeforeItsCompleteAnswerIsReady() throws IOException {
         try (Socket socket = request(1200, false)) {
             site.awaitHeld(1);
             assertThat(socket.isConnected()).isTrue();
@@ -61,24 +61,24 @@
     }
 
     @Test
-    void theBookingIsGivenUpWhenACallerHangsUpDuringPrefill() throws IOException {
+    void theBookingIsReleasedWhenACallerHangsUpDuringPrefill() throws IOException {
         try (Socket socket = request(39_000, true)) {
             Wait.until(
                     TestSite.LIMIT,
                     "a prompt in prefill",
-                    () -> site.prefiller().backend().engine().pendingPrefills() > 0);
-            assertThat(placesHeld()).isEqualTo(1);
+                    () -> site.prefillEndpoint().backend().engine().pendingPrefills() > 0);
+            assertThat(bookedPlaces()).isEqualTo(1);
             assertThat(socket.isConnected()).isTrue();
         }
         site.awaitAllFree();
-        assertThat(site.decoders())
+        assertThat(site.decodeEndpoints())
                 .allSatisfy(vm ->
                         assertThat(vm.backend().engine().maxHeldSequences()).isZero());
     }
 
     @Test
-    void memoryIsFreedWhenTheEntryDiesInsteadOfTheCaller() {
-        CompletableFuture<Sample> sample = site.digest(site.entry(0), 1200, 2000, -1);
+    void memoryIsFreedWhenTheEntryCrashes() {
+        CompletableFuture<Sample> sample = site.longCompletion(site.entry(0), 1200, 2000, -1);
         site.awaitHeld(1);
         site.entry(0).crash();
         site.awaitAllFree();
@@ -86,10 +86,10 @@
     }
 
     @Test
-    void manyCallersWhoHangUpAtAnyMomentLeaveNothingBehind() {
+    void manyCallersWhoHangUpAtAnyMomentLeaveNoMemoryHeld() {
         List<CompletableFuture<Sample>> samples = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            samples.add(site.digest(site.entry(i % 2), 1100 + 50 * i, 50, i % 7 == 6 ? -1 : i % 7));
+            samples.add(site.longCompletion(site.entry(i % 2), 1100 + 50 * i, 50, i % 7 == 6 ? -1 : i % 7));
         }
         assertThat(samples)
                 .allSatisfy(sample -> assertThat(sample.join().outcome())
--- a/cli/src/test/java/org/quetzalseam/cli/CatalogueFailureTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CatalogueFailureTest.java
@@ -46,32 +46,33 @@
                         .allMatch(entry -> entry.daemon().catalogueVersion() == version));
     }
 
-    private long base() {
+    private long acceptedVersion() {
         return store.accepted().value().version();
     }
 
     @Test
-    void aSoundChangeComesIntoForceAtEveryEntry() {
-        awaitInForce(store.propose(changed("new-owner"), base(), "me").version());
+    void aValidChangeComesIntoForceAtEveryEntry() {
+        awaitInForce(
+                store.propose(changed("new-owner"), acceptedVersion(), "me").version());
     }
 
     @Test
-    void aBadChangeIsRefusedWithItsProblemsAndNothingChanges() {
-        long before = base();
+    void anInvalidChangeIsRefusedWithItsProblemsAndNothingChanges() {
+        long before = acceptedVersion();
         Map<String, String> files = changed("x");
         files.put("bad.ini", "[entry e]\nowner = nobody\nroute = model none\n");
         Manifest proposal = store.propose(files, before, "me");
         Wait.until(TestSite.LIMIT, "a verdict", () -> store.verdict().value().writer() == proposal.writer());
         Verdict verdict = store.verdict().value();
         assertThat(verdict.problems()).anySatisfy(problem -> assertThat(problem).contains("bad.ini", "nobody"));
-        assertThat(base()).isEqualTo(before);
+        assertThat(acceptedVersion()).isEqualTo(before);
         assertThat(site.entry(0).daemon().catalogueVersion()).isEqualTo(before);
         awaitInForce(store.propose(changed("y"), before, "me").version());
     }
 
     @Test
-    void ofTwoOperatorsWhoRaceOneWinsAndTheOtherIsTold() {
-        long base = base();
+    void ofConcurrentProposalsOneWinsAndTheOthersConflict() {
+        long base = acceptedVersion();
         List<CompletableFuture<Boolean>> results = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             String name = "racer-" + i;
@@ -94,7 +95,7 @@
 
     @Test
     void aChangeMadeFromAnOldVersionIsNotAccepted() {
-        long base = base();
+        long base = acceptedVersion();
         awaitInForce(store.propose(changed("first"), base, "me").version());
         assertThatThrownBy(() -> store.propose(changed("second"), base, "other"))
                 .isInstanceOf(CatalogueException.class)
@@ -103,7 +104,7 @@
 
     @Test
     void aWriteWhoseAnswerIsLostIsNotMadeTwice() {
-        long base = base();
+        long base = acceptedVersion();
         platform.loseAnswers(2);
         long version = store.propose(changed("lost"), base, "me").version();
         assertThat(version).isEqualTo(base + 1);
@@ -112,17 +113,17 @@
 
     @Test
     void aChangeProposedJustBeforeAnOutageComesIntoForceAfterIt() {
-        long version = store.propose(changed("outage"), base(), "me").version();
+        long version = store.propose(changed("outage"), acceptedVersion(), "me").version();
         platform.down(true);
         Wait.sleep(Duration.ofMillis(700));
-        assertThat(site.note(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
+        assertThat(site.shortCompletion(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         platform.down(false);
         awaitInForce(version);
     }
 
     @Test
-    void anEntryThatStartsDuringAnOutageLearnsTheNewestCatalogueFromItsPeers() {
-        long version = store.propose(changed("peer"), base(), "me").version();
+    void anEntryThatStartsDuringAnOutageReceivesTheNewestCatalogueFromItsPeers() {
+        long version = store.propose(changed("peer"), acceptedVersion(), "me").version();
         awaitInForce(version);
         Wait.until(
                 TestSite.LIMIT,
@@ -138,18 +139,18 @@
                 "the version is in force",
                 () -> site.entry(0).daemon().catalogueVersion() == version);
         Wait.until(TestSite.LIMIT, "links", () -> site.entry(0).daemon().connectedEndpoints() == 6);
-        assertThat(site.note(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
+        assertThat(site.shortCompletion(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         platform.down(false);
     }
 
     @Test
-    void aStoreThatFallsBackToAnOlderStateDoesNotTakeTheSiteBackAndIsSetRight() {
+    void aStoreThatRevertsToAnOlderStateDoesNotRevertTheSiteAndIsCorrected() {
         String old = platform.data(CatalogueStore.ACCEPTED);
-        long version = store.propose(changed("kept"), base(), "me").version();
+        long version = store.propose(changed("kept"), acceptedVersion(), "me").version();
         awaitInForce(version);
         assertThat(old).isNotNull();
         platform.overwrite(CatalogueStore.ACCEPTED, old);
-        Wait.until(TestSite.LIMIT, "the store is set right", () -> base() == version);
+        Wait.until(TestSite.LIMIT, "the store is set right", () -> acceptedVersion() == version);
         assertThat(site.entry(0).daemon().catalogueVersion()).isEqualTo(version);
         assertThat(site.entry(1).daemon().catalogueVersion()).isEqualTo(version);
     }
@@ -157,7 +158,7 @@
     @Test
     void aSlowStoreDelaysAChangeButDoesNotStopIt() {
         platform.slow(150);
-        awaitInForce(store.propose(changed("slow"), base(), "me").version());
+        awaitInForce(store.propose(changed("slow"), acceptedVersion(), "me").version());
         platform.slow(0);
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/CatalogueInDoubtTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CatalogueInDoubtTest.java
@@ -51,14 +51,14 @@
     // Guards against a final refusal of what has been added to the catalogue while the store was out of reach of this
     // entry.
     @Test
-    void whatTheCatalogueLacksIsNotDeniedWhileTheStoreIsOutOfReach() throws InterruptedException {
+    void unknownNamesAreNotRefusedForGoodWhileTheStoreIsUnreachable() throws InterruptedException {
         assertThat(post(TOKEN, "/services/none/x", "").statusCode()).isEqualTo(404);
         site.site().platform().down(true);
         TimeUnit.SECONDS.sleep(IN_FORCE_SECONDS);
         assertInDoubt(post(TOKEN, "/services/none/x", ""));
         assertInDoubt(post(TOKEN, "/v1/completions", PROMPT));
         assertInDoubt(post("nobody", "/v1/completions", PROMPT));
-        assertThat(site.note(site.entry(0)).join().outcome())
+        assertThat(site.shortCompletion(site.entry(0)).join().outcome())
                 .as("what it knows is served")
                 .isEqualTo(CallerOutcome.ANSWERED);
         site.site().platform().down(false);
--- a/cli/src/test/java/org/quetzalseam/cli/LeavingEndpointTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/DrainingEndpointTest.java
@@ -28,11 +28,11 @@
 import org.quetzalseam.wire.message.Work;
 import org.quetzalseam.wire.runtime.TimerService;
 
-class LeavingEndpointTest {
+class DrainingEndpointTest {
     /** How late an entry hears that the endpoint leaves: within a lease. */
-    private static final long LATE_MILLIS = 300;
+    private static final long ENTRY_DELAY_MILLIS = 300;
 
-    private static final Duration WORD_LIMIT = Duration.ofSeconds(3);
+    private static final Duration LEAVING_MESSAGE_LIMIT = Duration.ofSeconds(3);
     private static final Work WORK = new Work("owner", "entry", WorkClass.SHORT, 1, 10, 10, 1_000, 10);
 
     private final TestSite site = TestSite.start();
@@ -63,7 +63,7 @@
         @Override
         public void received(Connection connection, Message message) {
             if (message instanceof Leaving) {
-                timers.after(Duration.ofMillis(LATE_MILLIS), () -> {
+                timers.after(Duration.ofMillis(ENTRY_DELAY_MILLIS), () -> {
                     AttemptId id = new AttemptId(self.incarnation(), 1, 1);
                     connection.send(
                             new Call(id, WORK, "POST", "/", Map.of(), new byte[0], 1_000, false, KeyUse.none()));
@@ -86,7 +86,7 @@
      * the entry {@code link-closed … in_flight=1}.
      */
     @Test
-    void aCallThatWasOnItsWayWhenItsEndpointBeganToLeaveIsRefusedAsNotRun() throws Exception {
+    void aCallInTransitWhenItsEndpointStartsDrainingIsRefusedAsNotRun() throws Exception {
         EndpointVm service = site.services().get(0);
         LateEntry entry = new LateEntry();
         Dialer dialer = new Dialer(
@@ -106,20 +106,21 @@
      * there a moment after the endpoint told all entries, and what it said then was all that they were to hear of its keys.
      */
     @Test
-    void anEntryWhoseConnectionOpensWhileAnEndpointLeavesHearsItsWordToo() throws Exception {
+    void anEntryThatConnectsToADrainingEndpointReceivesItsLeavingMessage() throws Exception {
         EndpointVm service = site.services().get(0);
         service.daemon().startDraining();
-        WordEntry entry = new WordEntry();
+        LeavingListener entry = new LeavingListener();
         Dialer dialer = new Dialer(
                 "127.0.0.1", service.daemon().port(), self, SiteKey.loopback(), Transport.plain(), timers, entry);
         dialer.start();
-        assertThat(entry.word.get(WORD_LIMIT.toMillis(), TimeUnit.MILLISECONDS)).isNotNull();
+        assertThat(entry.leaving.get(LEAVING_MESSAGE_LIMIT.toMillis(), TimeUnit.MILLISECONDS))
+                .isNotNull();
         dialer.stop();
     }
 
     /** Waits for the word of an endpoint that leaves. */
-    private static final class WordEntry implements Dialer.Listener {
-        private final CompletableFuture<Leaving> word = new CompletableFuture<>();
+    private static final class LeavingListener implements Dialer.Listener {
+        private final CompletableFuture<Leaving> leaving = new CompletableFuture<>();
 
         @Override
         public void opened(Connection connection) {
@@ -128,8 +129,8 @@
 
         @Override
         public void received(Connection connection, Message message) {
-            if (message instanceof Leaving leaving) {
-                word.complete(leaving);
+            if (message instanceof Leaving notice) {
+                leaving.complete(notice);
             }
         }
 
--- a/cli/src/test/java/org/quetzalseam/cli/WholePathTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/EndToEndTest.java
@@ -16,7 +16,7 @@
 import org.quetzalseam.cli.site.SiteOptions;
 import org.quetzalseam.cli.site.Traffic;
 
-class WholePathTest {
+class EndToEndTest {
     private static final double SPEED = 8;
 
     private final Deployment deployment = Deployment.bundled("kowhai");
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void everyRequestIsAnsweredOnceAndWhole() {
+    void everyRequestIsAnsweredOnceAndCompletely() {
         List<Traffic> traffic =
                 deployment.traffic().stream().map(kind -> kind.faster(SPEED)).toList();
         List<Sample> samples = new LoadRun(site, "whole", 0).run(Schedule.draw(traffic, 0.3, 2, 7), 7);
--- a/cli/src/test/java/org/quetzalseam/cli/FaultRunTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/FaultRunTest.java
@@ -9,7 +9,7 @@
 class FaultRunTest {
     @ParameterizedTest
     @CsvSource({"kowhai, 1", "landesamt, 2"})
-    void noPromiseIsBrokenThoughFaultsComeAtAnyMoment(String deployment, long seed) {
+    void noGuaranteeIsViolatedThoughFaultsOccurAtAnyMoment(String deployment, long seed) {
         FaultRun.Result result = new FaultRun(deployment, seed, 10).run();
         assertThat(result.report().violations()).isEmpty();
         assertThat(result.report().summaries())
--- a/cli/src/test/java/org/quetzalseam/cli/KeyInquiryTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/KeyInquiryTest.java
@@ -39,7 +39,7 @@
     private static final long STORE_DELAY_MILLIS = 1_000;
 
     /** How long an address accepts connections and says nothing: less than a lease, as when a process starts there beside load. */
-    private static final Duration SILENCE = Duration.ofMillis(700);
+    private static final Duration UNRESPONSIVE_TIME = Duration.ofMillis(700);
 
     private final TestSite site = TestSite.start();
     private final TimerService timers = new TimerService("test");
@@ -60,14 +60,14 @@
                 SiteKey.loopback(),
                 Transport.plain(),
                 timers,
-                new Announcing(members, heard));
+                new HeartbeatSender(members, heard));
         dialer.start();
         assertThat(heard.await(TestSite.LIMIT.toSeconds(), TimeUnit.SECONDS)).isTrue();
         dialer.stop();
     }
 
     /** Sends one heartbeat. */
-    private record Announcing(long members, CountDownLatch heard) implements Dialer.Listener {
+    private record HeartbeatSender(long members, CountDownLatch answered) implements Dialer.Listener {
         @Override
         public void opened(Connection connection) {
             connection.send(new Heartbeat(List.of(), 0, members));
@@ -75,7 +75,7 @@
 
         @Override
         public void received(Connection connection, Message message) {
-            heard.countDown();
+            answered.countDown();
         }
 
         @Override
@@ -108,7 +108,7 @@
      * lease runs counts as there everywhere else; half a second bounded the wrong thing.
      */
     @Test
-    void aKeyedCallIsAnsweredThoughAnotherEndpointIsSlowToSayWhetherItHasSeenTheKey() {
+    void aKeyedCallIsAnsweredThoughAnotherEndpointIsSlowToAnswerTheInquiry() {
         site.services().get(0).proxy().delay(PATH_DELAY_MILLIS);
         assertAnsweredOnce(deposits("slow-"), "slow-");
     }
@@ -151,7 +151,7 @@
      * {@code old-members}, outcome unknown.
      */
     @Test
-    void aKeyedCallIsAnsweredAtAnEntryThatHearsLateOfAChangeOfThePool() throws InterruptedException {
+    void aKeyedCallIsAnsweredAtAnEntryThatReceivesAPoolChangeLate() throws InterruptedException {
         PlatformStandIn platform = site.site().platform();
         long before =
                 new HttpObjectStore(platform.url()).members(0, Duration.ZERO).version();
@@ -175,14 +175,14 @@
      * of its keys, and is shown to be down a little later.
      */
     @Test
-    void aKeyedCallIsAnsweredThoughAnEndpointThatLeftIsSilentForAMomentBeforeItIsDown() throws IOException {
+    void aKeyedCallIsAnsweredThoughAStoppedEndpointIsBrieflyUnresponsiveBeforeItIsDown() throws IOException {
         EndpointVm left = site.services().get(0);
         left.stop();
         List<CompletableFuture<HttpResponse<String>>> deposits;
         try (ServerSocket silent = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
             left.proxy().redirect(silent.getLocalPort());
             deposits = deposits("silent-");
-            Wait.sleep(SILENCE);
+            Wait.sleep(UNRESPONSIVE_TIME);
         }
         assertAnsweredOnce(deposits, "silent-");
     }
@@ -193,7 +193,7 @@
      * and, with a longer wait, at 1,501 ms). The new process is to be asked instead.
      */
     @Test
-    void aKeyedCallIsAnsweredThoughAnEndpointThatLeftComesBackAtAnotherAddressDuringItsInquiry() throws IOException {
+    void aKeyedCallIsAnsweredThoughAStoppedEndpointRestartsAtAnotherAddressDuringItsInquiry() throws IOException {
         EndpointVm left = site.services().get(0);
         left.stop();
         try (ServerSocket silent = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
--- a/cli/src/test/java/org/quetzalseam/cli/LeavingTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/LeavingTest.java
@@ -36,9 +36,9 @@
 
     @Test
     void anEndpointThatStopsGetsNoNewWorkThoughTheListStillShowsIt() {
-        CompletableFuture<Sample> running = site.digest(site.entry(0), 1200, 600, -1);
+        CompletableFuture<Sample> running = site.longCompletion(site.entry(0), 1200, 600, -1);
         site.awaitHeld(1);
-        EndpointVm leaving = site.busyDecoder();
+        EndpointVm leaving = site.busyDecodeEndpoint();
         CompletableFuture<Void> stopped = CompletableFuture.runAsync(leaving::stop, TestThreads.EXECUTOR);
         Wait.until(
                 TestSite.LIMIT,
@@ -46,7 +46,7 @@
                 () -> leaving.daemon().load().leaving());
         Wait.sleep(Duration.ofMillis(100));
         for (int i = 0; i < 30; i++) {
-            assertThat(site.note(site.entry(i % 2)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
+            assertThat(site.shortCompletion(site.entry(i % 2)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         }
         assertThat(running.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         stopped.join();
@@ -54,16 +54,16 @@
     }
 
     @Test
-    void whatWaitsAtAnEndpointThatStopsIsAnsweredElsewhere() {
+    void requestsQueuedAtAStoppingEndpointAreAnsweredOrRefused() {
         List<CompletableFuture<Sample>> samples = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            samples.add(site.digest(site.entry(i % 2), 1100, 100, -1));
+            samples.add(site.longCompletion(site.entry(i % 2), 1100, 100, -1));
         }
         Wait.until(
                 TestSite.LIMIT,
                 "a queue",
-                () -> site.decoders().get(0).daemon().load().queued() > 0);
-        site.decoders().get(0).stop();
+                () -> site.decodeEndpoints().get(0).daemon().load().queued() > 0);
+        site.decodeEndpoints().get(0).stop();
         assertThat(samples)
                 .allSatisfy(sample -> assertThat(sample.join().outcome())
                         .as("%s", sample.join().code())
@@ -81,7 +81,7 @@
         CompletableFuture<List<Sample>> samples = CompletableFuture.supplyAsync(
                 () -> new LoadRun(site.site(), "rolling", 0).run(schedule, 3), TestThreads.EXECUTOR);
         List<EndpointVm> endpoints = new ArrayList<>(site.services());
-        endpoints.addAll(site.decoders());
+        endpoints.addAll(site.decodeEndpoints());
         for (EndpointVm vm : endpoints) {
             vm.stop();
             vm.start();
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void aRestartedEntryKnowsItsCatalogueAndEndpointsBeforeItTakesCalls() {
+    void aRestartedEntryKnowsItsCatalogueAndEndpointsBeforeItAcceptsCalls() {
         EntryVm vm = site.site().entries().get(0);
         vm.stop();
         vm.start();
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void aCallToAServiceIsPlacedElsewhereWhenItsEndpointIsLeaving() {
+    void aCallToAServiceIsPlacedElsewhereWhenItsEndpointHasStopped() {
         site.services().get(0).stop();
         for (int i = 0; i < 20; i++) {
             HttpResponse<String> response =
--- a/cli/src/test/java/org/quetzalseam/cli/OverloadTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/OverloadTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void atThreeTimesTheLoadWorkIsAnsweredWholeOrRefusedAtOnceWithATimeToComeBack() {
+    void atThreeTimesTheLoadRequestsAreAnsweredOrRefusedWithARetryAfter() {
         // The small site has a fifth of the deployment's prefill engines, so load 0.6 is three times what it carries.
         List<Traffic> traffic = site.site().deployment().traffic().stream()
                 .filter(kind -> kind.route().kind() == Route.Kind.MODEL)
@@ -56,8 +56,8 @@
      */
     @Test
     void aCompletionIsAnsweredThoughItsOrderToDecodeTakesATenthOfASecond() {
-        site.decoders().forEach(vm -> vm.proxy().delay(PATH_DELAY_MILLIS));
-        Sample sample = site.note(site.entry(0)).join();
+        site.decodeEndpoints().forEach(vm -> vm.proxy().delay(PATH_DELAY_MILLIS));
+        Sample sample = site.shortCompletion(site.entry(0)).join();
         assertThat(sample.outcome()).as("%s", sample.code()).isEqualTo(CallerOutcome.ANSWERED);
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/RestoredPlatformTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/RestoredPlatformTest.java
@@ -20,10 +20,10 @@
 /** The platform's store comes back from an older copy: what was written since is gone, and its versions are given out again. */
 class RestoredPlatformTest {
     /** Within it those who are there are on the list again. */
-    private static final Duration LISTED_AGAIN = Duration.ofSeconds(2);
+    private static final Duration RELISTING_TIME = Duration.ofSeconds(2);
 
     /** Reads of the store in a second by two entries that only wait, at most. */
-    private static final long READS_A_SECOND = 40;
+    private static final long MAX_READS_PER_SECOND = 40;
 
     private final TestSite site = TestSite.start();
     private final PlatformStandIn platform = site.site().platform();
@@ -54,7 +54,7 @@
 
     /** Each answer showed a list that seemed older than the entry's own: it was never taken, and asked for again at once. */
     @Test
-    void whoIsListedAfterTheStoreCameBackIsSeenAndNobodyAsksWithoutPause() {
+    void listChangesAfterARestoreAreSeenAndReadsArePaced() {
         PlatformStandIn.Copy copy = platform.copy();
         for (int i = 0; i < 10; i++) {
             platform.list(new ListedVm("other-" + i, "entry", "akl-east", "", 1, 1, true));
@@ -67,14 +67,14 @@
         awaitListed(5);
         long before = platform.reads();
         Wait.sleep(Duration.ofSeconds(1));
-        assertThat(platform.reads() - before).isLessThan(READS_A_SECOND);
+        assertThat(platform.reads() - before).isLessThan(MAX_READS_PER_SECOND);
     }
 
     /** The copy is from before the endpoint was listed; it serves all the while. */
     @Test
-    void whatRunsAtAnEndpointThatTheCopyDoesNotShowIsNotCut() {
-        EndpointVm late = site.decoders().get(0);
-        EndpointVm other = site.decoders().get(1);
+    void workAtAnEndpointMissingFromTheCopyIsNotInterrupted() {
+        EndpointVm late = site.decodeEndpoints().get(0);
+        EndpointVm other = site.decodeEndpoints().get(1);
         platform.unlist(late.name());
         platform.unlist(other.name());
         awaitListed(4);
@@ -86,18 +86,18 @@
                 "the links",
                 () -> site.site().entries().stream()
                         .allMatch(entry -> entry.daemon().connectedEndpoints() == 6));
-        CompletableFuture<Sample> running = site.digest(site.entry(0), 1200, 600, -1);
+        CompletableFuture<Sample> running = site.longCompletion(site.entry(0), 1200, 600, -1);
         site.awaitHeld(1);
         platform.restore(copy);
-        Wait.sleep(LISTED_AGAIN.dividedBy(2));
+        Wait.sleep(RELISTING_TIME.dividedBy(2));
         platform.list(listed(late));
         platform.list(listed(other));
         assertThat(running.join().outcome()).as("%s", running.join().code()).isEqualTo(CallerOutcome.ANSWERED);
-        assertThat(site.note(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
+        assertThat(site.shortCompletion(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
     }
 
     @Test
-    void whoIsNotListedAgainIsGoneAfterAMoment() {
+    void anEndpointThatIsNotListedAgainIsRemovedAfterADelay() {
         EndpointVm late = site.services().get(0);
         platform.unlist(late.name());
         awaitListed(5);
@@ -105,17 +105,17 @@
         platform.list(listed(late));
         awaitListed(6);
         platform.restore(copy);
-        Wait.sleep(LISTED_AGAIN.dividedBy(2));
+        Wait.sleep(RELISTING_TIME.dividedBy(2));
         assertThat(site.entry(0).daemon().listedEndpoints()).isEqualTo(6);
         awaitListed(5);
     }
 
     /** What entries run isn't taken back, and the next change comes above it. */
     @Test
-    void aChangeThatTheCopyDoesNotShowStaysInForceAndTheNextOneFollows() {
+    void aChangeMissingFromTheCopyStaysInForceAndTheNextOneFollows() {
         CatalogueStore store = new CatalogueStore(new HttpObjectStore(platform.url()));
         PlatformStandIn.Copy copy = platform.copy();
-        long first = change(store, "one");
+        long first = proposeOwner(store, "one");
         site.site().awaitCatalogue(first);
         platform.restore(copy);
         Wait.until(
@@ -123,12 +123,12 @@
                 "the change is stored again",
                 () -> store.accepted().value().version() == first);
         assertThat(site.entry(0).daemon().catalogueVersion()).isEqualTo(first);
-        long second = change(store, "two");
+        long second = proposeOwner(store, "two");
         assertThat(second).isGreaterThan(first);
         site.site().awaitCatalogue(second);
     }
 
-    private long change(CatalogueStore store, String owner) {
+    private long proposeOwner(CatalogueStore store, String owner) {
         Map<String, String> files = new HashMap<>(site.site().catalogue());
         files.put("extra.ini", "[owner " + owner + "]\nweight = 2\n");
         return store.propose(files, store.accepted().value().version(), "me").version();
--- a/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void anEndpointThatIsPausedPastTheLeaseGoesOnWithWhatItsEntryStillHolds() throws IOException, InterruptedException {
+    void anEndpointPausedPastTheLeaseContinuesTheWorkThatItsEntryStillHolds() throws IOException, InterruptedException {
         CompletableFuture<Sample> running = digest(200);
         awaitHeld();
         decodeEndpoint().signal("stop");
@@ -137,8 +137,7 @@
     }
 
     @Test
-    void anEntryThatIsPausedPastItsLeaseHoldsNoMemoryAndTellsTheTruthWhenItWakes()
-            throws IOException, InterruptedException {
+    void anEntryPausedPastItsLeaseHoldsNoMemoryAndReportsAnIncompleteAnswer() throws IOException, InterruptedException {
         CompletableFuture<Sample> running = digest(600);
         awaitHeld();
         entry().signal("stop");
--- a/spec/src/test/java/org/quetzalseam/spec/ProtocolModelTest.java
+++ b/spec/src/test/java/org/quetzalseam/spec/ProtocolModelTest.java
@@ -61,7 +61,7 @@
     }
 
     @TestFactory
-    List<DynamicTest> withoutAnyOneOfItsGuardsTheProtocolBreaksAPromise() throws IOException {
+    List<DynamicTest> withoutAnyOneOfItsGuardsAProtocolViolatesAProperty() throws IOException {
         List<DynamicTest> tests = new ArrayList<>();
         for (Path file : models()) {
             List<String> lines = Files.readAllLines(file);
