--- a/cli/src/test/java/org/quetzalseam/cli/AtMostOnceTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/AtMostOnceTest.java
@@ -25,7 +25,7 @@
         site.services().forEach(vm -> vm.backend().service().slow(millis));
     }
 
-    /** Makes a deposit and returns the endpoint that ran it, which is the holder of its key. */
+    /** Makes a deposit and returns the endpoint that ran it, which is the holder of the key. */
     private EndpointVm holderOf(String key) {
         List<Long> before = calls();
         assertThat(site.deposit(site.entry(0), key, "find-" + key).join().statusCode())
@@ -36,7 +36,7 @@
                 return site.services().get(i);
             }
         }
-        throw new IllegalStateException("no service was called");
+        throw new IllegalStateException("no service has counted a call");
     }
 
     private List<Long> calls() {
@@ -81,7 +81,7 @@
         holder.start();
         Wait.until(
                 TestSite.LIMIT,
-                "the holder is back",
+                "the holder is connected again",
                 () -> site.entry(0).daemon().connectedEndpoints() == 6);
         HttpResponse<String> response =
                 site.deposit(site.entry(0), "k", "find-k").join();
@@ -97,7 +97,7 @@
         holder.unlist();
         Wait.until(
                 TestSite.LIMIT,
-                "the list has reached both entries",
+                "both entries have received the list",
                 () -> site.entry(0).daemon().listedEndpoints() == 5
                         && site.entry(1).daemon().listedEndpoints() == 5);
         assertUnknownAndSafeToRepeat(site.deposit(site.entry(0), "k", "find-k").join());
@@ -112,7 +112,7 @@
         holder.unlist();
         Wait.until(
                 TestSite.LIMIT,
-                "the list has arrived",
+                "the entry has received the list",
                 () -> site.entry(0).daemon().listedEndpoints() == 5);
         long later = System.currentTimeMillis() + 60_000;
         for (int i = 0; i < 20; i++) {
--- a/cli/src/test/java/org/quetzalseam/cli/BadInputTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/BadInputTest.java
@@ -83,9 +83,9 @@
     }
 
     /**
-     * A body that is too large was left unread behind its refusal, and the connection closed without a word: the caller's next request, sent
-     * on it at once, was reset, and the refusal itself could be lost too. Seen as {@code header parser received no bytes} at the request
-     * after the one that was too large.
+     * Guards against an entry that refuses a body that is too large, leaves it unread, and closes the connection without announcing it.
+     * The caller's next request, sent at once on that connection, is then reset, and the refusal itself can be lost too. The caller sees
+     * {@code header parser received no bytes} at the request after the one that was too large.
      */
     @Test
     void aRefusalOfABodyThatIsTooLargeArrivesAndAnnouncesTheEndOfItsConnection() throws IOException {
--- a/cli/src/test/java/org/quetzalseam/cli/CallerDisconnectTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CallerDisconnectTest.java
@@ -24,7 +24,7 @@
         site.close();
     }
 
-    /** Sends a request over a socket of its own, so that the test decides when the caller is gone. */
+    /** Sends a request over a separate socket, so that the test decides when the caller disconnects. */
     private Socket request(int promptTokens, boolean stream) throws IOException {
         String prompt = "x".repeat(promptTokens * 4);
         String body = "{\"model\":\"summary-models\",\"prompt\":\"" + prompt + "\",\"max_tokens\":500,\"stream\":"
--- a/cli/src/test/java/org/quetzalseam/cli/CatalogueFailureTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CatalogueFailureTest.java
@@ -40,7 +40,7 @@
     private void awaitInForce(long version) {
         Wait.until(
                 TestSite.LIMIT,
-                "version " + version + " everywhere",
+                "version " + version + " is in force at every entry",
                 () -> site.site().entries().stream()
                         .filter(EntryVm::running)
                         .allMatch(entry -> entry.daemon().catalogueVersion() == version));
@@ -127,7 +127,7 @@
         awaitInForce(version);
         Wait.until(
                 TestSite.LIMIT,
-                "endpoints pass the version on",
+                "every endpoint has the version",
                 () -> site.site().endpoints().stream()
                         .allMatch(vm -> vm.daemon().catalogueVersion() == version));
         platform.down(true);
@@ -150,7 +150,7 @@
         awaitInForce(version);
         assertThat(old).isNotNull();
         platform.overwrite(CatalogueStore.ACCEPTED, old);
-        Wait.until(TestSite.LIMIT, "the store is set right", () -> acceptedVersion() == version);
+        Wait.until(TestSite.LIMIT, "the store holds the newer version again", () -> acceptedVersion() == version);
         assertThat(site.entry(0).daemon().catalogueVersion()).isEqualTo(version);
         assertThat(site.entry(1).daemon().catalogueVersion()).isEqualTo(version);
     }
--- a/cli/src/test/java/org/quetzalseam/cli/CatalogueInDoubtTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/CatalogueInDoubtTest.java
@@ -16,7 +16,7 @@
 import org.quetzalseam.cli.site.Wait;
 
 class CatalogueInDoubtTest {
-    /** Time in which a change is to be in force everywhere, in seconds. */
+    /** Time within which a change must be in force at every entry, in seconds. */
     private static final long IN_FORCE_SECONDS = 14;
 
     private static final String TOKEN = "token-library-central";
@@ -48,8 +48,8 @@
         assertThat(answer.headers().firstValue("Retry-After")).isPresent();
     }
 
-    // Guards against a final refusal of what has been added to the catalogue while the store was out of reach of this
-    // entry.
+    // Guards against a final refusal of a name that was added to the catalogue while this entry could not reach the
+    // store.
     @Test
     void unknownNamesAreNotRefusedForGoodWhileTheStoreIsUnreachable() throws InterruptedException {
         assertThat(post(TOKEN, "/services/none/x", "").statusCode()).isEqualTo(404);
@@ -59,12 +59,12 @@
         assertInDoubt(post(TOKEN, "/v1/completions", PROMPT));
         assertInDoubt(post("nobody", "/v1/completions", PROMPT));
         assertThat(site.shortCompletion(site.entry(0)).join().outcome())
-                .as("what it knows is served")
+                .as("a request for a known model")
                 .isEqualTo(CallerOutcome.ANSWERED);
         site.site().platform().down(false);
         Wait.until(
                 TestSite.LIMIT,
-                "a denial once the store is back",
+                "a final refusal once the store is reachable",
                 () -> post(TOKEN, "/services/none/x", "").statusCode() == 404);
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/DaemonProcess.java
+++ b/cli/src/test/java/org/quetzalseam/cli/DaemonProcess.java
@@ -12,7 +12,7 @@
 import org.quetzalseam.standins.PlatformStandIn;
 import org.quetzalseam.standins.PlatformStandIn.ListedVm;
 
-/** A daemon in a process of its own, started by a test. */
+/** A daemon in a separate process, started by a test. */
 final class DaemonProcess {
     private static final Pattern STARTED = Pattern.compile("event=started .* port=(\\d+) operator_port=(\\d+)");
 
@@ -54,7 +54,7 @@
             }
             line = output.readLine();
         }
-        throw new IOException("the daemon ended before it had started");
+        throw new IOException("the daemon process ended before it logged its start");
     }
 
     private static void discard(BufferedReader output) {
@@ -80,7 +80,7 @@
         new ProcessBuilder(command).start().waitFor();
     }
 
-    /** Tells the daemon to stop and returns its exit status. */
+    /** Asks the daemon to shut down, waits for its end and returns its exit status. */
     int stop() throws InterruptedException {
         process.destroy();
         return process.waitFor();
--- a/cli/src/test/java/org/quetzalseam/cli/DrainingEndpointTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/DrainingEndpointTest.java
@@ -29,7 +29,7 @@
 import org.quetzalseam.wire.runtime.TimerService;
 
 class DrainingEndpointTest {
-    /** How late an entry hears that the endpoint leaves: within a lease. */
+    /** Delay after which an entry handles the message that the endpoint leaves, in milliseconds; shorter than a lease. */
     private static final long ENTRY_DELAY_MILLIS = 300;
 
     private static final Duration LEAVING_MESSAGE_LIMIT = Duration.ofSeconds(3);
@@ -50,7 +50,7 @@
         site.close();
     }
 
-    /** Sends a call after the endpoint has said that it leaves, and only then has heard it. */
+    /** Sends a call after the endpoint has reported that it leaves, and acknowledges the report only then. */
     private final class LateEntry implements Dialer.Listener {
         private final CompletableFuture<Void> connected = new CompletableFuture<>();
         private final CompletableFuture<Message> answer = new CompletableFuture<>();
@@ -81,9 +81,9 @@
     }
 
     /**
-     * Calls were told {@code endpoint-lost}, outcome unknown, 1.7 s after their endpoint had stopped as planned: they had been on their way when it said
-     * so, it had nothing to do, and ended its connections before it could refuse them. In the log, {@code event=leaving … live=0}, then at
-     * the entry {@code link-closed … in_flight=1}.
+     * Guards against calls that fail with {@code endpoint-lost}, outcome unknown, 1.7 s after their endpoint has stopped as planned. They
+     * were in transit when the endpoint reported that it leaves; it had no work left, and closed its connections before it could refuse
+     * them. The log then has {@code event=leaving … live=0}, and the entry's log {@code link-closed … in_flight=1}.
      */
     @Test
     void aCallInTransitWhenItsEndpointStartsDrainingIsRefusedAsNotRun() throws Exception {
@@ -102,8 +102,9 @@
     }
 
     /**
-     * An inquiry was in doubt, {@code reason=absent-without-word}, about an endpoint that had left as planned: its entry's connection had opened
-     * there a moment after the endpoint told all entries, and what it said then was all that they were to hear of its keys.
+     * Guards against an inquiry that stays in doubt, {@code reason=absent-without-word}, about an endpoint that has shut down as planned.
+     * The entry's connection opened just after the endpoint had sent its leaving message to all entries, and that message is the only
+     * report of its keys.
      */
     @Test
     void anEntryThatConnectsToADrainingEndpointReceivesItsLeavingMessage() throws Exception {
@@ -118,7 +119,7 @@
         dialer.stop();
     }
 
-    /** Waits for the word of an endpoint that leaves. */
+    /** Waits for the leaving message of an endpoint. */
     private static final class LeavingListener implements Dialer.Listener {
         private final CompletableFuture<Leaving> leaving = new CompletableFuture<>();
 
@@ -136,7 +137,7 @@
 
         @Override
         public void closed(Connection connection) {
-            // The test waits for the word.
+            // The test waits for the leaving message.
         }
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/KeyInquiryTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/KeyInquiryTest.java
@@ -32,13 +32,13 @@
 
 class KeyInquiryTest {
     private static final int DEPOSITS = 20;
-    /** Delay of each piece on a path, in milliseconds: an answer over it takes half of the lease. */
+    /** Delay of each chunk of bytes on a path, in milliseconds. An answer over it takes half of the lease. */
     private static final long PATH_DELAY_MILLIS = 350;
 
-    /** How late calls to the store take effect, in milliseconds. */
+    /** Delay after which calls to the store take effect, in milliseconds. */
     private static final long STORE_DELAY_MILLIS = 1_000;
 
-    /** How long an address accepts connections and says nothing: less than a lease, as when a process starts there beside load. */
+    /** How long an address accepts connections but sends nothing: less than a lease, as when a process starts there under load. */
     private static final Duration UNRESPONSIVE_TIME = Duration.ofMillis(700);
 
     private final TestSite site = TestSite.start();
@@ -50,9 +50,9 @@
         site.close();
     }
 
-    /** Tells an endpoint, as another entry does with its heartbeat, which list of VMs is in use. */
+    /** Reports to an endpoint which version of the list of VMs is in use, as another entry does with its heartbeat. */
     private void announce(EndpointVm service, long members) throws InterruptedException {
-        CountDownLatch heard = new CountDownLatch(1);
+        CountDownLatch answered = new CountDownLatch(1);
         Dialer dialer = new Dialer(
                 "127.0.0.1",
                 service.daemon().port(),
@@ -60,9 +60,9 @@
                 SiteKey.loopback(),
                 Transport.plain(),
                 timers,
-                new HeartbeatSender(members, heard));
+                new HeartbeatSender(members, answered));
         dialer.start();
-        assertThat(heard.await(TestSite.LIMIT.toSeconds(), TimeUnit.SECONDS)).isTrue();
+        assertThat(answered.await(TestSite.LIMIT.toSeconds(), TimeUnit.SECONDS)).isTrue();
         dialer.stop();
     }
 
@@ -80,11 +80,11 @@
 
         @Override
         public void closed(Connection connection) {
-            // It has said all.
+            // The only heartbeat has been sent.
         }
     }
 
-    /** Makes deposits at both entries at once, each with a key of its own. */
+    /** Makes concurrent deposits at both entries, each with its own key. */
     private List<CompletableFuture<HttpResponse<String>>> deposits(String prefix) {
         List<CompletableFuture<HttpResponse<String>>> deposits = new ArrayList<>();
         for (int i = 0; i < DEPOSITS; i++) {
@@ -102,10 +102,11 @@
     }
 
     /**
-     * Keyed calls were told {@code key-holder-unreachable} beside load though nothing had stopped: their inquiry gave an endpoint half a
-     * second to answer, and it answered just later. In the log, {@code key-inquiry-in-doubt … reason=no-answer-in-time
-     * unanswered=repository-app-1 … age_ms=656}; a copy that went on waiting had the answer within the next millisecond. An endpoint whose
-     * lease runs counts as there everywhere else; half a second bounded the wrong thing.
+     * Guards against keyed calls that are refused with {@code key-holder-unreachable} under load although no process has stopped. An
+     * inquiry that gives an endpoint only half a second to answer gives up just before the answer arrives. The log then has
+     * {@code key-inquiry-in-doubt … reason=no-answer-in-time unanswered=repository-app-1 … age_ms=656}; a copy that continued to wait
+     * had the answer within the next millisecond. Half a second is the wrong limit, because everywhere else an endpoint counts as present
+     * while its lease runs.
      */
     @Test
     void aKeyedCallIsAnsweredThoughAnotherEndpointIsSlowToAnswerTheInquiry() {
@@ -114,8 +115,8 @@
     }
 
     /**
-     * A connection that is cut while an inquiry's question is on it loses the question or its answer. The endpoint is there and can be
-     * asked again at once: to bar a key twice is the same as once.
+     * A connection that is cut while an inquiry is in transit on it loses the inquiry or its answer. The endpoint is still running and
+     * can be asked again at once, because fencing a key twice has the same effect as fencing it once.
      */
     @Test
     void aKeyedCallIsAnsweredThoughAConnectionIsCutDuringItsInquiry() {
@@ -128,7 +129,7 @@
         assertAnsweredOnce(deposits, "cut-");
     }
 
-    /** A holder whose connection has just been cut is there again as soon as it is dialled. */
+    /** A holder whose connection has just been cut is reachable again as soon as the entry dials it. */
     @Test
     void aKeyedCallIsAnsweredThoughTheConnectionToItsHolderHasJustBeenCut() {
         for (int i = 0; i < DEPOSITS; i++) {
@@ -146,9 +147,9 @@
     }
 
     /**
-     * Entries hear of a change of the pool one after the other. A holder that has heard of it from one of them doesn't take a key from
-     * another that goes by the old list, as the key may have moved; that one can read the list anew instead of telling its caller
-     * {@code old-members}, outcome unknown.
+     * Entries receive a change of the pool one after the other. A holder that has received it from one entry does not accept a key from
+     * another that still uses the old list, because the key may have moved. That entry can read the list again instead of answering its
+     * caller with {@code old-members}, outcome unknown.
      */
     @Test
     void aKeyedCallIsAnsweredAtAnEntryThatReceivesAPoolChangeLate() throws InterruptedException {
@@ -170,17 +171,17 @@
     }
 
     /**
-     * A keyed call was told {@code key-holder-unreachable}, {@code reason=left-and-maybe-back}, in the moment in which another endpoint
-     * was stopped as planned and started again: nobody said within half a second whether a process is up there. The endpoint left word
-     * of its keys, and is shown to be down a little later.
+     * Guards against a keyed call that is refused with {@code key-holder-unreachable}, {@code reason=left-and-maybe-back}, while another
+     * endpoint is stopped as planned and started again, because nothing shows within half a second whether a process runs there. The
+     * endpoint reported its keys when it shut down, and is found to be down a little later.
      */
     @Test
     void aKeyedCallIsAnsweredThoughAStoppedEndpointIsBrieflyUnresponsiveBeforeItIsDown() throws IOException {
-        EndpointVm left = site.services().get(0);
-        left.stop();
+        EndpointVm stopped = site.services().get(0);
+        stopped.stop();
         List<CompletableFuture<HttpResponse<String>>> deposits;
-        try (ServerSocket silent = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
-            left.proxy().redirect(silent.getLocalPort());
+        try (ServerSocket unresponsive = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
+            stopped.proxy().redirect(unresponsive.getLocalPort());
             deposits = deposits("silent-");
             Wait.sleep(UNRESPONSIVE_TIME);
         }
@@ -188,19 +189,19 @@
     }
 
     /**
-     * The same, and meanwhile the endpoint is started again at another address. The link to the one before was stopped, and a stopped link
-     * dials nobody: an inquiry that waited for it learnt nothing, however long it waited ({@code reason=left-and-maybe-back}, at 514 ms
-     * and, with a longer wait, at 1,501 ms). The new process is to be asked instead.
+     * As above, but the endpoint is meanwhile started again at another address. The link to the previous process is stopped, and a stopped
+     * link does not dial, so an inquiry that waits for it gets no answer, however long it waits ({@code reason=left-and-maybe-back}, at
+     * 514 ms and, with a longer wait, at 1,501 ms). The inquiry must ask the new process instead.
      */
     @Test
     void aKeyedCallIsAnsweredThoughAStoppedEndpointRestartsAtAnotherAddressDuringItsInquiry() throws IOException {
-        EndpointVm left = site.services().get(0);
-        left.stop();
-        try (ServerSocket silent = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
-            left.proxy().redirect(silent.getLocalPort());
+        EndpointVm stopped = site.services().get(0);
+        stopped.stop();
+        try (ServerSocket unresponsive = new ServerSocket(0, DEPOSITS, InetAddress.getLoopbackAddress())) {
+            stopped.proxy().redirect(unresponsive.getLocalPort());
             List<CompletableFuture<HttpResponse<String>>> deposits = deposits("back-");
             Wait.sleep(Duration.ofMillis(200));
-            left.start();
+            stopped.start();
             assertAnsweredOnce(deposits, "back-");
         }
     }
--- a/cli/src/test/java/org/quetzalseam/cli/LeavingTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/LeavingTest.java
@@ -21,7 +21,7 @@
 import org.quetzalseam.cli.site.Wait;
 
 class LeavingTest {
-    /** Delay of each piece on a path, in milliseconds: with it a connection takes some tenths of a second to be made. */
+    /** Delay of each chunk of bytes on a path, in milliseconds. With it a connection takes some tenths of a second to open. */
     private static final long PATH_DELAY_MILLIS = 60;
 
     private static final int STOPS = 20;
@@ -38,19 +38,19 @@
     void anEndpointThatStopsGetsNoNewWorkThoughTheListStillShowsIt() {
         CompletableFuture<Sample> running = site.longCompletion(site.entry(0), 1200, 600, -1);
         site.awaitHeld(1);
-        EndpointVm leaving = site.busyDecodeEndpoint();
-        CompletableFuture<Void> stopped = CompletableFuture.runAsync(leaving::stop, TestThreads.EXECUTOR);
+        EndpointVm stopping = site.busyDecodeEndpoint();
+        CompletableFuture<Void> stopped = CompletableFuture.runAsync(stopping::stop, TestThreads.EXECUTOR);
         Wait.until(
                 TestSite.LIMIT,
-                "the endpoint says that it leaves",
-                () -> leaving.daemon().load().leaving());
+                "the endpoint reports that it leaves",
+                () -> stopping.daemon().load().leaving());
         Wait.sleep(Duration.ofMillis(100));
         for (int i = 0; i < 30; i++) {
             assertThat(site.shortCompletion(site.entry(i % 2)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         }
         assertThat(running.join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
         stopped.join();
-        assertThat(leaving.backend().engine().maxHeldSequences()).isEqualTo(1);
+        assertThat(stopping.backend().engine().maxHeldSequences()).isEqualTo(1);
     }
 
     @Test
@@ -106,7 +106,7 @@
 
     /**
      * An endpoint that has restarted as planned is on the platform's list before the entries have a connection to it. Its keys are as
-     * safe as before: who asks then is answered as soon as it can be reached.
+     * safe as before the restart, so a call made in that time is answered as soon as the endpoint can be reached.
      */
     @Test
     void aKeyedCallWaitsForTheFirstConnectionToItsRestartedHolder() {
@@ -126,10 +126,11 @@
     }
 
     /**
-     * Keyed calls were told {@code key-holder-unreachable} when their key's holder left as planned between their choice of it and their
-     * sending: in the log, {@code event=key-holder-not-connected … reached_before=true} right after {@code endpoint-leaving} and
-     * {@code link-closed}. Nothing had been sent, and who chose a moment later chose the next holder. Or their inquiry waited for the answer of
-     * an endpoint that had left meanwhile: {@code reason=no-answer-in-time … age_ms=1502}.
+     * Guards against keyed calls that are refused with {@code key-holder-unreachable} because the holder of their key shut down as planned
+     * after it was chosen and before the call was sent. The log then has {@code event=key-holder-not-connected … reached_before=true}
+     * right after {@code endpoint-leaving} and {@code link-closed}. Nothing had been sent, and a call that chose a moment later chose the
+     * next holder. Another cause is an inquiry that waits for the answer of an endpoint that has shut down meanwhile:
+     * {@code reason=no-answer-in-time … age_ms=1502}.
      */
     @Test
     void aKeyedCallWhoseHolderLeavesBeforeItIsSentGoesToTheNextHolder() {
@@ -145,8 +146,8 @@
             }
             assertThat(deposits).allSatisfy(deposit -> {
                 HttpResponse<String> response = deposit.join();
-                // A key that was barred elsewhere for a holder that then left stays barred: that is true, and another
-                // matter.
+                // A key that was fenced elsewhere for a holder that then shut down stays fenced. That answer is
+                // correct, and not the fault that this test guards against.
                 assertThat(response.statusCode() == 200 || response.body().contains("\"key-moved\""))
                         .as(response.body())
                         .isTrue();
@@ -172,7 +173,7 @@
     private void awaitConnected(int endpoints) {
         Wait.until(
                 TestSite.LIMIT,
-                "the links",
+                "all links are connected",
                 () -> site.site().entries().stream()
                         .allMatch(entry -> entry.daemon().connectedEndpoints() == endpoints));
     }
--- a/cli/src/test/java/org/quetzalseam/cli/OverloadTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/OverloadTest.java
@@ -15,7 +15,7 @@
 import org.quetzalseam.core.catalogue.Route;
 
 class OverloadTest {
-    /** Delay of each piece on a path, in milliseconds: the order to decode comes late, but long before a KV cache is gone. */
+    /** Delay of each chunk of bytes on a path, in milliseconds. The decode order arrives late, but long before a KV cache expires. */
     private static final long PATH_DELAY_MILLIS = 150;
 
     private final TestSite site = TestSite.start();
@@ -27,7 +27,7 @@
 
     @Test
     void atThreeTimesTheLoadRequestsAreAnsweredOrRefusedWithARetryAfter() {
-        // The small site has a fifth of the deployment's prefill engines, so load 0.6 is three times what it carries.
+        // The small site has a fifth of the deployment's prefill engines, so load 0.6 is three times its capacity.
         List<Traffic> traffic = site.site().deployment().traffic().stream()
                 .filter(kind -> kind.route().kind() == Route.Kind.MODEL)
                 .map(kind -> kind.faster(8))
@@ -51,8 +51,9 @@
     }
 
     /**
-     * Beside load a completion was told {@code transfer-lost} four attempts in a row, {@code the engine answered 410}: an order to decode
-     * came more than 100 ms after the end of its prefill. The way of the order takes as long before engines that are eight times as fast.
+     * Guards against a completion that fails with {@code transfer-lost} after four attempts in a row, {@code the engine answered 410},
+     * under load: each decode order arrived more than 100 ms after the end of its prefill. The order takes the same time in transit
+     * although the engines here are eight times as fast.
      */
     @Test
     void aCompletionIsAnsweredThoughItsOrderToDecodeTakesATenthOfASecond() {
--- a/cli/src/test/java/org/quetzalseam/cli/RestoredPlatformTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/RestoredPlatformTest.java
@@ -17,12 +17,12 @@
 import org.quetzalseam.standins.PlatformStandIn;
 import org.quetzalseam.standins.PlatformStandIn.ListedVm;
 
-/** The platform's store comes back from an older copy: what was written since is gone, and its versions are given out again. */
+/** Tests a site whose platform store is restored from an older copy: later writes are lost, and their versions are assigned again. */
 class RestoredPlatformTest {
-    /** Within it those who are there are on the list again. */
+    /** Time within which running VMs are on the list again. */
     private static final Duration RELISTING_TIME = Duration.ofSeconds(2);
 
-    /** Reads of the store in a second by two entries that only wait, at most. */
+    /** Maximum number of reads of the store per second by two entries that only wait for changes. */
     private static final long MAX_READS_PER_SECOND = 40;
 
     private final TestSite site = TestSite.start();
@@ -52,7 +52,10 @@
                         .allMatch(entry -> entry.daemon().listedEndpoints() == endpoints));
     }
 
-    /** Each answer showed a list that seemed older than the entry's own: it was never taken, and asked for again at once. */
+    /**
+     * Guards against an entry that never adopts the restored list, because each answer shows one that seems older than its own, and
+     * requests it again at once.
+     */
     @Test
     void listChangesAfterARestoreAreSeenAndReadsArePaced() {
         PlatformStandIn.Copy copy = platform.copy();
@@ -61,16 +64,16 @@
         }
         Wait.sleep(Duration.ofMillis(500));
         platform.restore(copy);
-        EndpointVm gone = site.services().get(0);
-        gone.crash();
-        gone.unlist();
+        EndpointVm removed = site.services().get(0);
+        removed.crash();
+        removed.unlist();
         awaitListed(5);
         long before = platform.reads();
         Wait.sleep(Duration.ofSeconds(1));
         assertThat(platform.reads() - before).isLessThan(MAX_READS_PER_SECOND);
     }
 
-    /** The copy is from before the endpoint was listed; it serves all the while. */
+    /** The copy was made before the endpoint was listed. The endpoint serves requests throughout. */
     @Test
     void workAtAnEndpointMissingFromTheCopyIsNotInterrupted() {
         EndpointVm late = site.decodeEndpoints().get(0);
@@ -83,7 +86,7 @@
         platform.list(listed(other));
         Wait.until(
                 TestSite.LIMIT,
-                "the links",
+                "all links are connected",
                 () -> site.site().entries().stream()
                         .allMatch(entry -> entry.daemon().connectedEndpoints() == 6));
         CompletableFuture<Sample> running = site.longCompletion(site.entry(0), 1200, 600, -1);
@@ -110,7 +113,7 @@
         awaitListed(5);
     }
 
-    /** What entries run isn't taken back, and the next change comes above it. */
+    /** The version that entries run is not reverted, and the next change gets a higher version. */
     @Test
     void aChangeMissingFromTheCopyStaysInForceAndTheNextOneFollows() {
         CatalogueStore store = new CatalogueStore(new HttpObjectStore(platform.url()));
--- a/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
@@ -141,7 +141,7 @@
         CompletableFuture<Sample> running = digest(600);
         awaitHeld();
         entry().signal("stop");
-        Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.heldSequences() == 0);
+        Wait.until(TestSite.LIMIT, "the memory is freed at the end of the lease", () -> decoder.heldSequences() == 0);
         entry().signal("cont");
         assertThat(running.join().outcome()).isEqualTo(CallerOutcome.INCOMPLETE);
     }
@@ -151,7 +151,7 @@
         CompletableFuture<Sample> running = digest(600);
         awaitHeld();
         entry().kill();
-        Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.heldSequences() == 0);
+        Wait.until(TestSite.LIMIT, "the memory is freed at the end of the lease", () -> decoder.heldSequences() == 0);
         assertThat(running.join().outcome()).isEqualTo(CallerOutcome.CUT_OFF);
     }
 }
