--- a/spec/src/main/alloy/attempts.als
+++ b/spec/src/main/alloy/attempts.als
@@ -1,9 +1,9 @@
 /**
- * Attempts at one non-idempotent request without a key. The entry sends an order for each attempt to an endpoint; orders
- * may be delayed, doubled and lost; endpoints crash and come back with an empty memory; leases lapse.
+ * Models the attempts at one non-idempotent request without a key. The entry sends an order for each attempt to an endpoint.
+ * Orders may be delayed, duplicated and lost; endpoints may crash and restart with an empty memory; leases may expire.
  *
- * A line with the comment "@guard" is a guard of the code; the mutation test removes one at a time and expects a
- * counterexample.
+ * A line with the comment "@guard" models a guard of the code. The mutation test removes one of these lines at a time and
+ * expects a counterexample.
  */
 module attempts
 
@@ -12,17 +12,17 @@
 sig Attempt { at: one Endpoint }
 
 var sig Sent in Attempt {}        -- the entry has sent the order at some time
-var sig Order in Attempt {}       -- an order is in the network
+var sig Order in Attempt {}       -- an order is in transit
 var sig Waiting in Attempt {}     -- the endpoint holds the attempt, not started
-var sig Started in Attempt {}     -- the endpoint's present incarnation has started it
+var sig Started in Attempt {}     -- the endpoint's current incarnation has started it
 var sig Sealed in Attempt {}      -- the endpoint holds a tombstone
-var sig Proof in Attempt {}       -- an answer "sealed before start" is in the network
-var sig StaleProof in Attempt {}  -- the same, but given by a later incarnation than the order was sent to
-var sig Proved in Attempt {}      -- the entry has taken the proof
+var sig Proof in Attempt {}       -- an answer "sealed before start" is in transit
+var sig StaleProof in Attempt {}  -- the same, but from a later incarnation than the order was sent to
+var sig Proved in Attempt {}      -- the entry has accepted the proof
 var sig Forgotten in Attempt {}   -- the endpoint has restarted since the order was sent
 var sig Ran in Attempt {}         -- the back end has run it
 var sig RanAgain in Attempt {}    -- the back end has run it more than once
-var lone sig Told in Verdict {}   -- what the caller was told
+var lone sig Told in Verdict {}   -- the outcome reported to the caller
 
 abstract sig Verdict {}
 one sig NotRun, Unknown, Answered extends Verdict {}
@@ -51,7 +51,7 @@
   keepEntry and keepEndpoint and keepHistory
 }
 
--- The order stays in the network: it may arrive again.
+-- The order stays in transit, so it may arrive again.
 pred deliver[a: Attempt] {
   a in Order
   a not in Sealed //@guard a sealed attempt is refused when its order arrives
@@ -70,7 +70,7 @@
   keepEntry and keepNetwork
 }
 
--- The entry asked for it, or the lease ran out: the tombstone stays.
+-- The entry requested it, or the lease expired. The tombstone stays.
 pred seal[a: Attempt] {
   a in Sent
   a not in Started //@guard what has started is not reported as sealed
@@ -81,7 +81,7 @@
   keepEntry and keepHistory
 }
 
--- Both proofs look alike but for the incarnation that the connection's handshake named.
+-- The two proofs differ only in the incarnation that the connection's handshake named.
 pred takeProof[a: Attempt] {
   a in Proof + StaleProof
   a in Proof //@guard a proof counts only from the incarnation that the order was sent to
@@ -89,7 +89,7 @@
   keepNetwork and keepEndpoint and keepHistory
 }
 
--- Orders are bound to their connection, which does not outlive the process.
+-- Orders are bound to their connection, which ends with the process.
 pred crash[e: Endpoint] {
   let gone = at.e {
     Waiting' = Waiting - gone and Started' = Started - gone and Sealed' = Sealed - gone
--- a/spec/src/main/alloy/catalogue.als
+++ b/spec/src/main/alloy/catalogue.als
@@ -1,6 +1,7 @@
 /**
- * Accepted catalogue versions: operators propose, reviewers accept by conditional update, processes adopt what the store or
- * a peer offers. Reads may be stale, the store may fall back to an older state, processes may restart empty.
+ * Models accepted catalogue versions. Operators propose versions, reviewers accept them by conditional update, and processes
+ * adopt what the store or a peer offers. Reads may be stale, the store may revert to an older state, and processes may restart
+ * without a catalogue.
  */
 module catalogue
 open util/ordering[Version]
@@ -15,7 +16,7 @@
 
 sig Process { var current: lone Manifest }
 
-var sig Accepted in Manifest {}   -- what was accepted at some time
+var sig Accepted in Manifest {}   -- accepted at some time
 
 pred init {
   Store.accepted.version = first
@@ -40,7 +41,7 @@
   keepReviewers and keepProcesses
 }
 
--- From the store, possibly stale, or from a peer: anything that was ever accepted.
+-- The store, possibly stale, or a peer may offer any manifest that was ever accepted.
 pred adopt[p: Process, m: Manifest] {
   m in Accepted
   some p.current implies gt[m.version, p.current.version] //@guard an older version is never taken
--- a/spec/src/main/alloy/incarnation.als
+++ b/spec/src/main/alloy/incarnation.als
@@ -1,10 +1,10 @@
 /**
- * One endpoint that starts again under its id, as an entry sees it: registrations and reports that come late, orders that rest
- * on a report, and bookings of a life that may have ended.
+ * Models one endpoint that restarts under the same id, as an entry sees it: registrations and reports that arrive late, orders
+ * that are based on a report, and bookings of an incarnation that may have ended. A Life is an incarnation.
  *
- * An order names the endpoint's id and the count of orders that the report gave. Both may be the same in two lives (no life has
- * accepted an order at first), so they prove nothing here and are left out. The platform may itself hold an order up past a
- * restart; that is not modelled, and no guard of the entry prevents it.
+ * An order names the endpoint's id and the count of orders from the report. Both may be equal in two incarnations (none has
+ * accepted an order at its start), so they prove nothing here and are not modelled. The platform may itself delay an order past
+ * a restart; that is not modelled either, and no guard of the entry prevents it.
  */
 module incarnation
 
@@ -13,18 +13,18 @@
 sig Life {}
 sig Connection { to: one Life }      -- ends with the process that accepted it
 
-var one sig Alive in Life {}         -- the life that runs
-var sig Registered in Life {}        -- lives of which some registration may still come
-var lone sig Known in Life {}        -- the life that the entry takes the endpoint for
-var sig Reporting in Connection {}   -- reports that were given and have not come yet
-var lone sig Believed in Life {}     -- the life that the entry holds a report for
-var lone sig Source in Connection {} -- the connection that this report came over
-var lone sig Order in Connection {}  -- an order is on its way over the connection
-var lone sig Reason in Life {}       -- the life whose report that order rests on
-var sig Ordered in Life {}           -- has taken an order
-var sig Misled in Life {}            -- has taken an order that rested on another life's report
-var lone sig Booking in Life {}      -- the entry holds a booking or a KV handle of this life
-var sig Misused in Life {}           -- its booking was sent when the entry knew of another life
+var one sig Alive in Life {}         -- the incarnation that runs
+var sig Registered in Life {}        -- incarnations of which a registration may still arrive
+var lone sig Known in Life {}        -- the incarnation that the entry takes as current
+var sig Reporting in Connection {}   -- reports that were sent and have not arrived yet
+var lone sig Believed in Life {}     -- the incarnation that the entry holds a report for
+var lone sig Source in Connection {} -- the connection over which this report arrived
+var lone sig Order in Connection {}  -- an order is in transit over the connection
+var lone sig Reason in Life {}       -- the incarnation on whose report that order is based
+var sig Ordered in Life {}           -- has accepted an order
+var sig Misled in Life {}            -- has accepted an order based on another incarnation's report
+var lone sig Booking in Life {}      -- the entry holds a booking or a KV handle of this incarnation
+var sig Misused in Life {}           -- its booking was sent when the entry knew another incarnation
 
 pred init {
   Alive = first and no Registered and no Known and no Reporting and no Believed and no Source
@@ -48,7 +48,7 @@
   Known' = Known and keepEndpoint and keepBelief and keepBooking
 }
 
--- Listings may be late, and come in any order.
+-- Listings may arrive late and in any order.
 pred listed[l: Life] {
   l in Registered
   l not in prevs[Known] //@guard a registration of an earlier life changes nothing
@@ -63,7 +63,7 @@
   Known' = Known and keepEndpoint and keepBelief and keepBooking
 }
 
--- What was on its way when the process ended may still come.
+-- A report that was in transit when the process ended may still arrive.
 pred reportTaken[c: Connection] {
   c in Reporting and some Known
   c.to = Known //@guard a report counts only for the life that it is of
--- a/spec/src/main/alloy/keys.als
+++ b/spec/src/main/alloy/keys.als
@@ -1,7 +1,7 @@
 /**
- * One idempotency key, within the time for which it is remembered. The endpoint that rendezvous hashing gives the key to
- * (here: the greatest member of an entry's view) remembers the key and runs it. Views lag; members join, crash, restart
- * and leave as planned; two entries act at once.
+ * Models one idempotency key within its retention time. The endpoint to which rendezvous hashing assigns the key (here: the
+ * greatest member of an entry's view) remembers the key and runs it. Views lag; members join, crash, restart and shut down as
+ * planned; two entries act concurrently.
  */
 module keys
 open util/ordering[Endpoint]
@@ -10,19 +10,19 @@
 
 sig Entry { 
   var view: set Endpoint,       -- the members that the entry knows of
-  var listed: set Endpoint,     -- whom an inquiry must ask: all members so far, by a fresh read of the list
-  var denied: set Endpoint      -- who has denied the key in this inquiry, and is barred from it now
+  var listed: set Endpoint,     -- the endpoints that an inquiry must ask: all members so far, by a fresh read of the list
+  var denied: set Endpoint      -- the endpoints that have denied the key in this inquiry and are now fenced
 }
 
 var sig Member in Endpoint {}     -- the platform's list
 var sig Alive in Endpoint {}      -- the process runs
 var sig Joined in Endpoint {}     -- was a member at some time
-var sig Changed in Entry {}       -- the entry has seen its view change, or knows no past
-var sig Restarted in Endpoint {}  -- the process is not the first of its name
+var sig Changed in Entry {}       -- the entry has seen its view change, or has no earlier view
+var sig Restarted in Endpoint {}  -- the process is not the first incarnation under its name
 var sig Blank in Endpoint {}      -- the process has a predecessor that crashed and may have seen the key
 var sig Seen in Endpoint {}       -- claimed here, in memory
-var sig Fenced in Endpoint {}     -- barred here, in memory
-var sig Wrote in Endpoint {}      -- left as planned and left word that it knew the key
+var sig Fenced in Endpoint {}     -- fenced here, in memory
+var sig Wrote in Endpoint {}      -- shut down as planned and reported that it knew the key
 var sig Ran in Endpoint {}
 var sig RanAgain in Endpoint {}
 
@@ -60,7 +60,7 @@
   keepList and keepEntries and keepHistory
 }
 
--- A planned stop: what was seen or barred is told before the process ends.
+-- A planned shutdown: the process reports seen and fenced keys before it ends.
 pred leave[p: Endpoint] {
   p in Alive
   Alive' = Alive - p and Seen' = Seen - p and Fenced' = Fenced - p
@@ -86,14 +86,14 @@
   keepList and keepMemory and keepHistory
 }
 
--- The holder has said that it is in doubt: an inquiry begins with a fresh read of the list of members.
+-- The holder has reported that it is in doubt. An inquiry begins with a fresh read of the list of members.
 pred begin[e: Entry] {
   no e.listed and holder[e] in Alive
   listed' = listed + (e -> Joined) and denied' = denied and view' = view and Changed' = Changed
   keepList and keepMemory and keepHistory
 }
 
--- Asks an endpoint about the key; one that has not seen it bars it.
+-- Asks an endpoint about the key. An endpoint that has not seen the key fences it.
 pred inquire[e: Entry, p: Endpoint] {
   p in e.listed and p != holder[e]
   p in Alive implies {
@@ -110,7 +110,7 @@
   keepList and keepHistory
 }
 
--- Whoever joined after the inquiry began can't take the key without asking the holder in turn.
+-- An endpoint that joined after the inquiry began cannot accept the key without asking the holder in turn.
 pred allDenied[e: Entry] { some e.listed and e.listed - holder[e] in e.denied }
 
 pred claim[e: Entry] {
@@ -144,6 +144,6 @@
 
 run canRun { eventually some Ran } for 3 Endpoint, 2 Entry, 5 steps
 run canRunAfterAChange { eventually (some Changed and some e: Entry | e in Changed and no Ran and after some Ran) } for 3 Endpoint, 1 Entry, 8 steps
--- By hand, in two minutes: for 3 Endpoint, 2 Entry, 10 steps.
+-- A larger scope, checked by hand in two minutes: for 3 Endpoint, 2 Entry, 10 steps.
 check runsAtMostOnce for 2 Endpoint, 2 Entry, 10 steps
 check runsAtMostOnce for 3 Endpoint, 2 Entry, 8 steps
--- a/spec/src/main/alloy/memory.als
+++ b/spec/src/main/alloy/memory.als
@@ -1,6 +1,6 @@
 /**
- * Engine memory: places are booked in the endpoint's ledger, held by the engine, and given back when the caller is gone,
- * the entry's lease lapses, or the work ends. Cancellation and end may cross; the entry may die.
+ * Models engine memory. Places are booked in the endpoint's ledger, held by the engine, and released when the caller has
+ * disconnected, the entry's lease expires, or the work ends. Cancellation and end may cross in transit; the entry may crash.
  */
 module memory
 
@@ -8,12 +8,12 @@
 
 var sig Booked in Attempt {}    -- the ledger counts a place
 var sig Held in Attempt {}      -- the engine holds memory
-var sig Leased in Attempt {}    -- the entry's heartbeat still names it
-var sig Gone in Attempt {}      -- the caller is gone, or the entry is dead
-var sig Sealed in Attempt {}    -- may not start any more
-var sig Cancelling in Attempt {}-- the engine has been told to drop it
+var sig Leased in Attempt {}    -- the entry's heartbeats still name it
+var sig Gone in Attempt {}      -- the caller has disconnected, or the entry has crashed
+var sig Sealed in Attempt {}    -- may no longer start
+var sig Cancelling in Attempt {}-- the engine has been asked to drop it
 var sig Ever in Attempt {}      -- was booked at some time
-var sig Released in Attempt {}  -- gave its place back
+var sig Released in Attempt {}  -- has released its place
 var sig ReleasedAgain in Attempt {}
 
 pred init { no Booked and no Held and no Leased and no Gone and no Sealed and no Cancelling and no Ever
@@ -43,14 +43,14 @@
   keepLedger and keepEngine
 }
 
--- An entry stops naming an attempt whose caller is gone; a dead entry names none.
+-- An entry stops naming an attempt whose caller has disconnected; a crashed entry names none.
 pred lapse[a: Attempt] {
   a in Gone & Leased
   Leased' = Leased - a and Gone' = Gone and Sealed' = Sealed
   keepLedger and keepEngine
 }
 
--- The endpoint's clock finds what no heartbeat has named for the length of a lease.
+-- The endpoint's timer finds the attempts that no heartbeat has named for the length of a lease.
 pred sweep {
   let lapsed = Booked - Leased {
     Sealed' = Sealed + lapsed
@@ -67,7 +67,7 @@
     and ReleasedAgain' = ReleasedAgain + (Released & counted) and Ever' = Ever
 }
 
--- The engine has dropped the work, and the endpoint learns of it.
+-- The engine has dropped the work, and the endpoint is informed.
 pred dropped[a: Attempt] {
   a in Cancelling
   Held' = Held - a and Cancelling' = Cancelling - a and Sealed' = Sealed
@@ -92,7 +92,7 @@
   }
 }
 
--- What must happen again and again for a bound to exist: leases lapse, the clock sweeps, the engine obeys.
+-- Fairness that a bound requires: leases expire, the timer sweeps and the engine carries out cancellations, each repeatedly.
 pred fair {
   all a: Attempt | always (a in Gone & Leased implies eventually a not in Leased)
   all a: Attempt | always (a in Cancelling implies eventually a not in Cancelling)
--- a/spec/src/main/alloy/orders.als
+++ b/spec/src/main/alloy/orders.als
@@ -1,10 +1,10 @@
 /**
- * Orders to engines under a lease that is a record in the platform's store. A holder renews the record and orders only right
- * after a renewal that is confirmed; a process that finds the record unchanged for long takes it over and waits before its
- * first order. Answers of the store may come late, processes may be suspended, and another writer may spoil the record at any
- * moment.
+ * Models orders to engines under a lease that is a record in the platform's store. A holder renews the record and sends orders
+ * only right after a confirmed renewal. A process that finds the record unchanged for long takes it over and waits before its
+ * first order. Answers of the store may arrive late, processes may be suspended, and another writer may overwrite the record at
+ * any moment.
  *
- * Time is in the preconditions: what lasts at most one second has ended when something that takes several has passed.
+ * Time is modelled in the preconditions: what lasts at most one second has ended when something that takes several has passed.
  */
 module orders
 
@@ -13,14 +13,14 @@
 
 var one sig Current in Revision {}      -- the record's revision
 var sig Used in Revision {}             -- revisions that the record has had
-var lone sig Holder in Process {}       -- whom the record names
-var sig Believes in Process {}          -- takes itself for the holder
+var lone sig Holder in Process {}       -- the process that the record names
+var sig Believes in Process {}          -- considers itself the holder
 var sig Quiet in Process {}             -- has taken over and waits before its first order
-var sig Recent in Process {}            -- its newest renewal took effect within the last second
-var sig Confirmed in Process {}         -- has the store's answer to its newest renewal
-var sig Sent in Process {}              -- an order of its is on its way
-var sig Hot in Process {}               -- an order of its is so new that another's would take turns with it
-one sig Known { var of: Process -> lone Revision }  -- the revision each has seen last
+var sig Recent in Process {}            -- its latest renewal took effect within the last second
+var sig Confirmed in Process {}         -- has the store's answer to its latest renewal
+var sig Sent in Process {}              -- one of its orders is in transit
+var sig Hot in Process {}               -- one of its orders is so recent that an order of another process would alternate with it
+one sig Known { var of: Process -> lone Revision }  -- the revision that each process has read last
 
 pred init {
   Used = Current and no Holder and no Believes and no Quiet and no Recent and no Confirmed and no Sent and no Hot and no Known.of
@@ -38,13 +38,13 @@
   keepRecord and keepTime
 }
 
--- Another writer replaces the record: by one that names anyone, or by one that can't be read and so names nobody.
+-- Another writer replaces the record by one that names any process, or by one that cannot be parsed and so names none.
 pred spoil {
   some r: Revision - Used { Current' = r and Used' = Used + r }
   keepBelief and keepTime
 }
 
--- Timing: a record that has stood still for long means that no renewal is recent and no order new.
+-- Timing: if the record has been unchanged for long, no renewal and no order is recent.
 pred takeOver[p: Process] {
   some Known.of[p] and Known.of[p] = Current and p not in Believes
   no Recent and no Hot
@@ -53,7 +53,7 @@
   Confirmed' = Confirmed - p and Recent' = Recent and Hot' = Hot and Sent' = Sent
 }
 
--- Timing: what others did before the take-over has ended by now.
+-- Timing: actions of other processes from before the take-over have ended by now.
 pred quietEnds[p: Process] {
   p in Quiet and no (Recent - p) and no (Hot - p) and no (Sent - p)
   Quiet' = Quiet - p and Believes' = Believes and of' = of
@@ -88,7 +88,7 @@
   keepRecord and keepBelief
 }
 
--- Arrival may take long: a suspended machine or a cut link holds it up.
+-- Arrival may take long, because a suspended machine or a cut link can delay it.
 pred arrive[p: Process] {
   p in Sent
   Sent' = Sent - p and Hot' = Hot + p and Recent' = Recent and Confirmed' = Confirmed
@@ -110,10 +110,10 @@
   })
 }
 
-/** Holders don't take turns: no order comes while another process's order is new. */
+/** Holders do not alternate: no order arrives while another process's order is recent. */
 assert NoTurns { always lone Hot }
 check NoTurns for 2 Process, 5 Revision, 17 steps expect 0
 
-/** The lease can change hands, and both holders can order. */
+/** The lease can change its holder, and both holders can send orders. */
 run BothOrder { some disj p, q: Process | eventually (p in Hot and eventually q in Hot) }
   for 2 Process, 5 Revision, 20 steps expect 1
--- a/spec/src/main/alloy/restore.als
+++ b/spec/src/main/alloy/restore.als
@@ -1,10 +1,10 @@
 /**
- * Orders to engines under a lease whose record is in a store that may come back from an older copy: what was written since is gone,
- * and its revisions are given out again. The store states its era, which rises. A position is an era and a revision; the epoch of a
- * holding is the position of the record that it replaced. A process may start anew and then knows nothing.
+ * Models orders to engines under a lease whose record is in a store that may be restored from an older copy: later writes are lost,
+ * and their revisions are assigned again. The store states its era, which increases. A position is an era and a revision; the epoch
+ * of a holding is the position of the record that it replaced. A process may restart and then has no state.
  *
- * Time is in the preconditions, as in orders.als: what lasts at most one second has ended when something that takes several has
- * passed. A restore may come at any moment, also within such a second.
+ * Time is modelled in the preconditions, as in orders.als: what lasts at most one second has ended when something that takes several
+ * has passed. A restore may occur at any moment, also within such a second.
  */
 module restore
 
@@ -18,22 +18,22 @@
 one sig Store {
   var era: one Era,
   var at: one Revision,               -- the record's revision
-  var holder: lone Process,           -- whom the record names, and under which epoch
+  var holder: lone Process,           -- the process that the record names, and its epoch
   var holdingEra: lone Era,
   var holdingAt: lone Revision,
-  var done: Process -> Era -> Revision -- under which epochs orders of each were carried out
+  var done: Process -> Era -> Revision -- the epochs under which orders of each process were carried out
 }
 
 one sig Known {
-  var seenEra: Process -> lone Era,   -- the record's position as each has seen it last
+  var seenEra: Process -> lone Era,   -- the record's position as each process has read it last
   var seenAt: Process -> lone Revision,
-  var mineEra: Process -> lone Era,   -- the epoch under which each takes itself for the holder
+  var mineEra: Process -> lone Era,   -- the epoch under which each process considers itself the holder
   var mineAt: Process -> lone Revision
 }
 
 var sig Quiet in Process {}           -- waits before its first order
-var sig Recent in Process {}          -- its newest renewal was confirmed, and sent within the last second
-var sig Sent in Process {}            -- an order of its is on its way
+var sig Recent in Process {}          -- its latest renewal was confirmed, and sent within the last second
+var sig Sent in Process {}            -- one of its orders is in transit
 
 fun believes: set Process { Known.mineEra.Era }
 
@@ -52,7 +52,7 @@
   eras/gt[e, f] or (e = f and revisions/gt[r, s])
 }
 
--- The copy may name anyone, under any epoch given up to then.
+-- The copy may name any process, under any epoch assigned up to then.
 pred restore {
   some f: eras/next[Store.era] | era' = Store -> f
   some r: Revision | not revisions/gt[r, Store.at] and at' = Store -> r
@@ -85,7 +85,7 @@
   sees[p, Store.at] and holdsNone[p] and keepStore and keepTime
 }
 
--- Who finds itself the holder waits like one that took over, unless it knew.
+-- A process that finds itself named as the holder waits as after a take-over, unless it already considers itself the holder.
 pred readOwn[p: Process] {
   p in Store.holder
   Store.holdingEra = Store.era //@guard a record whose epoch is of an earlier era is nobody's
@@ -94,17 +94,17 @@
   keepStore and keepTime
 }
 
--- The store compares revisions alone.
+-- The store compares only revisions, not eras.
 pred write[p: Process] {
   Known.seenAt[p] = Store.at
   some r: Revision | revisions/gt[r, Store.at] and at' = Store -> r and sees[p, r]
   holder' = Store -> p and era' = era
 }
 
--- Timing: a record that has stood still for long in this era means that no renewal is recent.
+-- Timing: if the record has been unchanged for long in this era, no renewal is recent.
 pred takeOver[p: Process] {
   p not in believes and no Recent and write[p]
-  Known.seenEra[p] = Store.era -- what is answered in a later era is no take-over
+  Known.seenEra[p] = Store.era -- a write answered in a later era is no take-over
   holdingEra' = Store -> Known.seenEra[p]
   holdingAt' = Store -> Known.seenAt[p]
   holds[p, Known.seenEra[p], Known.seenAt[p]]
@@ -113,20 +113,20 @@
 
 pred renew[p: Process] {
   p in believes and write[p]
-  Known.seenEra[p] = Store.era -- what is answered in a later era is no renewal
+  Known.seenEra[p] = Store.era -- a write answered in a later era is no renewal
   holdingEra' = Store -> Known.mineEra[p] and holdingAt' = Store -> Known.mineAt[p]
   mineEra' = mineEra and mineAt' = mineAt and Quiet' = Quiet
   Recent' = Recent + p and Sent' = Sent and done' = done
 }
 
--- A write of an earlier era that finds its revision given out again spoils the record of whoever wrote it.
+-- A write from an earlier era succeeds if its revision has been assigned again, and overwrites the record of that revision's writer.
 pred stray[p: Process] {
   Known.seenEra[p] != Store.era and write[p]
   holdingEra' = Store -> Known.seenEra[p] and holdingAt' = Store -> Known.seenAt[p]
   holdsNone[p] and keepTime
 }
 
--- Timing: what others did before the take-over has ended by now.
+-- Timing: actions of other processes from before the take-over have ended by now.
 pred quietEnds[p: Process] {
   p in Quiet and no Recent - p and no Sent
   Quiet' = Quiet - p and seenEra' = seenEra and seenAt' = seenAt and mineEra' = mineEra and mineAt' = mineAt
@@ -140,12 +140,12 @@
 
 pred order[p: Process] {
   p in believes and p in Recent and p not in Sent
-  p not in Quiet -- a new holder waits until orders of before the restore are long past
+  p not in Quiet -- a new holder waits until orders from before the restore are long past
   Sent' = Sent + p and Recent' = Recent and done' = done
   keepStore and keepKnown
 }
 
--- The epoch of an order is that of its holding: while it is on its way its sender takes no other one.
+-- The epoch of an order is that of its holding: while the order is in transit, its sender adopts no other epoch.
 pred arrive[p: Process] {
   p in Sent and p in believes
   Sent' = Sent - p and Recent' = Recent
@@ -168,7 +168,7 @@
   })
 }
 
-/** Under one epoch one process orders, and none is carried out under a lower epoch than one that was before. */
+/** Only one process orders under an epoch, and no order is carried out under a lower epoch than an earlier order. */
 assert EpochsRise {
   always no disj p, q: Process | some Store.done[p] & Store.done[q]
   always all p: Process | arrive[p] implies
@@ -176,6 +176,6 @@
 }
 check EpochsRise for 2 Process, 2 Era, 4 Revision, 14 steps expect 0
 
-/** Both can order, with a restore between. */
+/** Both processes can send orders, with a restore in between. */
 run OrdersInBothEras { some disj p, q: Process | eventually (some Store.done[p] and eventually (restore and eventually some Store.done[q])) }
   for 2 Process, 2 Era, 4 Revision, 16 steps expect 1
