--- a/cli/src/test/java/org/quetzalseam/cli/LeavingEndpointTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/DrainingEndpointTest.java
@@ -28,11 +28,11 @@
 import org.quetzalseam.wire.message.Work;
 import org.quetzalseam.wire.runtime.TimerService;
 
-class LeavingEndpointTest {
-    /** How late an entry hears that the endpoint leaves: within a lease. */
-    private static final long LATE_MILLIS = 300;
+class DrainingEndpointTest {
+    /** Delay after which an entry handles the message that the endpoint leaves, in milliseconds; shorter than a lease. */
+    private static final long ENTRY_DELAY_MILLIS = 300;
 
-    private static final Duration WORD_LIMIT = Duration.ofSeconds(3);
+    private static final Duration LEAVING_MESSAGE_LIMIT = Duration.ofSeconds(3);
     private static final Work WORK = new Work("owner", "entry", WorkClass.SHORT, 1, 10, 10, 1_000, 10);
 
     private final TestSite site = TestSite.start();
@@ -50,7 +50,7 @@
         site.close();
     }
 
-    /** Sends a call after the endpoint has said that it leaves, and only then has heard it. */
+    /** Sends a call after the endpoint has reported that it leaves, and acknowledges the report only then. */
     private final class LateEntry implements Dialer.Listener {
         private final CompletableFuture<Void> connected = new CompletableFuture<>();
         private final CompletableFuture<Message> answer = new CompletableFuture<>();
@@ -63,7 +63,7 @@
         @Override
         public void received(Connection connection, Message message) {
             if (message instanceof Leaving) {
-                timers.after(Duration.ofMillis(LATE_MILLIS), () -> {
+                timers.after(Duration.ofMillis(ENTRY_DELAY_MILLIS), () -> {
                     AttemptId id = new AttemptId(self.incarnation(), 1, 1);
                     connection.send(
                             new Call(id, WORK, "POST", "/", Map.of(), new byte[0], 1_000, false, KeyUse.none()));
@@ -81,12 +81,12 @@
     }
 
     /**
-     * Calls were told {@code endpoint-lost}, outcome unknown, 1.7 s after their endpoint had stopped as planned: they had been on their way when it said
-     * so, it had nothing to do, and ended its connections before it could refuse them. In the log, {@code event=leaving … live=0}, then at
-     * the entry {@code link-closed … in_flight=1}.
+     * Guards against calls that fail with {@code endpoint-lost}, outcome unknown, 1.7 s after their endpoint has stopped as planned. They
+     * were in transit when the endpoint reported that it leaves; it had no work left, and closed its connections before it could refuse
+     * them. The log then has {@code event=leaving … live=0}, and the entry's log {@code link-closed … in_flight=1}.
      */
     @Test
-    void aCallThatWasOnItsWayWhenItsEndpointBeganToLeaveIsRefusedAsNotRun() throws Exception {
+    void aCallInTransitWhenItsEndpointStartsDrainingIsRefusedAsNotRun() throws Exception {
         EndpointVm service = site.services().get(0);
         LateEntry entry = new LateEntry();
         Dialer dialer = new Dialer(
@@ -102,24 +102,26 @@
     }
 
     /**
-     * An inquiry was in doubt, {@code reason=absent-without-word}, about an endpoint that had left as planned: its entry's connection had opened
-     * there a moment after the endpoint told all entries, and what it said then was all that they were to hear of its keys.
+     * Guards against an inquiry that stays in doubt, {@code reason=absent-without-word}, about an endpoint that has shut down as planned.
+     * The entry's connection opened just after the endpoint had sent its leaving message to all entries, and that message is the only
+     * report of its keys.
      */
     @Test
-    void anEntryWhoseConnectionOpensWhileAnEndpointLeavesHearsItsWordToo() throws Exception {
+    void anEntryThatConnectsToADrainingEndpointReceivesItsLeavingMessage() throws Exception {
         EndpointVm service = site.services().get(0);
         service.daemon().startDraining();
-        WordEntry entry = new WordEntry();
+        LeavingListener entry = new LeavingListener();
         Dialer dialer = new Dialer(
                 "127.0.0.1", service.daemon().port(), self, SiteKey.loopback(), Transport.plain(), timers, entry);
         dialer.start();
-        assertThat(entry.word.get(WORD_LIMIT.toMillis(), TimeUnit.MILLISECONDS)).isNotNull();
+        assertThat(entry.leaving.get(LEAVING_MESSAGE_LIMIT.toMillis(), TimeUnit.MILLISECONDS))
+                .isNotNull();
         dialer.stop();
     }
 
-    /** Waits for the word of an endpoint that leaves. */
-    private static final class WordEntry implements Dialer.Listener {
-        private final CompletableFuture<Leaving> word = new CompletableFuture<>();
+    /** Waits for the leaving message of an endpoint. */
+    private static final class LeavingListener implements Dialer.Listener {
+        private final CompletableFuture<Leaving> leaving = new CompletableFuture<>();
 
         @Override
         public void opened(Connection connection) {
@@ -128,14 +130,14 @@
 
         @Override
         public void received(Connection connection, Message message) {
-            if (message instanceof Leaving leaving) {
-                word.complete(leaving);
+            if (message instanceof Leaving notice) {
+                leaving.complete(notice);
             }
         }
 
         @Override
         public void closed(Connection connection) {
-            // The test waits for the word.
+            // The test waits for the leaving message.
         }
     }
 }
--- a/cli/src/test/java/org/quetzalseam/cli/RestoredPlatformTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/RestoredPlatformTest.java
@@ -17,13 +17,13 @@
 import org.quetzalseam.standins.PlatformStandIn;
 import org.quetzalseam.standins.PlatformStandIn.ListedVm;
 
-/** The platform's store comes back from an older copy: what was written since is gone, and its versions are given out again. */
+/** Tests a site whose platform store is restored from an older copy: later writes are lost, and their versions are assigned again. */
 class RestoredPlatformTest {
-    /** Within it those who are there are on the list again. */
-    private static final Duration LISTED_AGAIN = Duration.ofSeconds(2);
+    /** Time within which running VMs are on the list again. */
+    private static final Duration RELISTING_TIME = Duration.ofSeconds(2);
 
-    /** Reads of the store in a second by two entries that only wait, at most. */
-    private static final long READS_A_SECOND = 40;
+    /** Maximum number of reads of the store per second by two entries that only wait for changes. */
+    private static final long MAX_READS_PER_SECOND = 40;
 
     private final TestSite site = TestSite.start();
     private final PlatformStandIn platform = site.site().platform();
@@ -52,29 +52,32 @@
                         .allMatch(entry -> entry.daemon().listedEndpoints() == endpoints));
     }
 
-    /** Each answer showed a list that seemed older than the entry's own: it was never taken, and asked for again at once. */
+    /**
+     * Guards against an entry that never adopts the restored list, because each answer shows one that seems older than its own, and
+     * requests it again at once.
+     */
     @Test
-    void whoIsListedAfterTheStoreCameBackIsSeenAndNobodyAsksWithoutPause() {
+    void listChangesAfterARestoreAreSeenAndReadsArePaced() {
         PlatformStandIn.Copy copy = platform.copy();
         for (int i = 0; i < 10; i++) {
             platform.list(new ListedVm("other-" + i, "entry", "akl-east", "", 1, 1, true));
         }
         Wait.sleep(Duration.ofMillis(500));
         platform.restore(copy);
-        EndpointVm gone = site.services().get(0);
-        gone.crash();
-        gone.unlist();
+        EndpointVm removed = site.services().get(0);
+        removed.crash();
+        removed.unlist();
         awaitListed(5);
         long before = platform.reads();
         Wait.sleep(Duration.ofSeconds(1));
-        assertThat(platform.reads() - before).isLessThan(READS_A_SECOND);
+        assertThat(platform.reads() - before).isLessThan(MAX_READS_PER_SECOND);
     }
 
-    /** The copy is from before the endpoint was listed; it serves all the while. */
+    /** The copy was made before the endpoint was listed. The endpoint serves requests throughout. */
     @Test
-    void whatRunsAtAnEndpointThatTheCopyDoesNotShowIsNotCut() {
-        EndpointVm late = site.decoders().get(0);
-        EndpointVm other = site.decoders().get(1);
+    void workAtAnEndpointMissingFromTheCopyIsNotInterrupted() {
+        EndpointVm late = site.decodeEndpoints().get(0);
+        EndpointVm other = site.decodeEndpoints().get(1);
         platform.unlist(late.name());
         platform.unlist(other.name());
         awaitListed(4);
@@ -83,21 +86,21 @@
         platform.list(listed(other));
         Wait.until(
                 TestSite.LIMIT,
-                "the links",
+                "all links are connected",
                 () -> site.site().entries().stream()
                         .allMatch(entry -> entry.daemon().connectedEndpoints() == 6));
-        CompletableFuture<Sample> running = site.digest(site.entry(0), 1200, 600, -1);
+        CompletableFuture<Sample> running = site.longCompletion(site.entry(0), 1200, 600, -1);
         site.awaitHeld(1);
         platform.restore(copy);
-        Wait.sleep(LISTED_AGAIN.dividedBy(2));
+        Wait.sleep(RELISTING_TIME.dividedBy(2));
         platform.list(listed(late));
         platform.list(listed(other));
         assertThat(running.join().outcome()).as("%s", running.join().code()).isEqualTo(CallerOutcome.ANSWERED);
-        assertThat(site.note(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
+        assertThat(site.shortCompletion(site.entry(0)).join().outcome()).isEqualTo(CallerOutcome.ANSWERED);
     }
 
     @Test
-    void whoIsNotListedAgainIsGoneAfterAMoment() {
+    void anEndpointThatIsNotListedAgainIsRemovedAfterADelay() {
         EndpointVm late = site.services().get(0);
         platform.unlist(late.name());
         awaitListed(5);
@@ -105,17 +108,17 @@
         platform.list(listed(late));
         awaitListed(6);
         platform.restore(copy);
-        Wait.sleep(LISTED_AGAIN.dividedBy(2));
+        Wait.sleep(RELISTING_TIME.dividedBy(2));
         assertThat(site.entry(0).daemon().listedEndpoints()).isEqualTo(6);
         awaitListed(5);
     }
 
-    /** What entries run isn't taken back, and the next change comes above it. */
+    /** The version that entries run is not reverted, and the next change gets a higher version. */
     @Test
-    void aChangeThatTheCopyDoesNotShowStaysInForceAndTheNextOneFollows() {
+    void aChangeMissingFromTheCopyStaysInForceAndTheNextOneFollows() {
         CatalogueStore store = new CatalogueStore(new HttpObjectStore(platform.url()));
         PlatformStandIn.Copy copy = platform.copy();
-        long first = change(store, "one");
+        long first = proposeOwner(store, "one");
         site.site().awaitCatalogue(first);
         platform.restore(copy);
         Wait.until(
@@ -123,12 +126,12 @@
                 "the change is stored again",
                 () -> store.accepted().value().version() == first);
         assertThat(site.entry(0).daemon().catalogueVersion()).isEqualTo(first);
-        long second = change(store, "two");
+        long second = proposeOwner(store, "two");
         assertThat(second).isGreaterThan(first);
         site.site().awaitCatalogue(second);
     }
 
-    private long change(CatalogueStore store, String owner) {
+    private long proposeOwner(CatalogueStore store, String owner) {
         Map<String, String> files = new HashMap<>(site.site().catalogue());
         files.put("extra.ini", "[owner " + owner + "]\nweight = 2\n");
         return store.propose(files, store.accepted().value().version(), "me").version();
--- a/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
+++ b/cli/src/test/java/org/quetzalseam/cli/SeparateProcessesTest.java
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void anEndpointThatIsPausedPastTheLeaseGoesOnWithWhatItsEntryStillHolds() throws IOException, InterruptedException {
+    void anEndpointPausedPastTheLeaseContinuesTheWorkThatItsEntryStillHolds() throws IOException, InterruptedException {
         CompletableFuture<Sample> running = digest(200);
         awaitHeld();
         decodeEndpoint().signal("stop");
@@ -137,12 +137,11 @@
     }
 
     @Test
-    void anEntryThatIsPausedPastItsLeaseHoldsNoMemoryAndTellsTheTruthWhenItWakes()
-            throws IOException, InterruptedException {
+    void anEntryPausedPastItsLeaseHoldsNoMemoryAndReportsAnIncompleteAnswer() throws IOException, InterruptedException {
         CompletableFuture<Sample> running = digest(600);
         awaitHeld();
         entry().signal("stop");
-        Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.heldSequences() == 0);
+        Wait.until(TestSite.LIMIT, "the memory is freed at the end of the lease", () -> decoder.heldSequences() == 0);
         entry().signal("cont");
         assertThat(running.join().outcome()).isEqualTo(CallerOutcome.INCOMPLETE);
     }
@@ -152,7 +151,7 @@
         CompletableFuture<Sample> running = digest(600);
         awaitHeld();
         entry().kill();
-        Wait.until(TestSite.LIMIT, "the memory is freed by lease", () -> decoder.heldSequences() == 0);
+        Wait.until(TestSite.LIMIT, "the memory is freed at the end of the lease", () -> decoder.heldSequences() == 0);
         assertThat(running.join().outcome()).isEqualTo(CallerOutcome.CUT_OFF);
     }
 }
